--- a/bench/division.py
+++ b/bench/division.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field, replace
 
 from swifttrestle.internal.policy.fetching import list_sources, plan_fetch
-from swifttrestle.internal.policy.homes import list_homes, weigh_zones
+from swifttrestle.internal.policy.home_zones import list_homes, weigh_zones
 from swifttrestle.internal.policy.placement import pick_reader
 from swifttrestle.internal.policy.waiting import IN_TIME_SHARE
 from swifttrestle.internal.state.declared import EngineTraits, Role, UpstreamRecord
--- a/bench/model.py
+++ b/bench/model.py
@@ -13,7 +13,7 @@
 
 from swifttrestle.internal.clock import Clock
 from swifttrestle.internal.policy.admission import Admission, Decision
-from swifttrestle.internal.policy.retries import RetryBudget
+from swifttrestle.internal.policy.retry_budget import RetryBudget
 from swifttrestle.internal.policy.roles import EngineLoad, RolePlanner
 from swifttrestle.internal.policy.routing import Candidate, Router, Work
 from swifttrestle.internal.protocol.engine import EngineState, Holding, LoadReport
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -14,8 +14,8 @@
 
 from swifttrestle.internal.policy import quarantine
 from swifttrestle.internal.policy.quarantine import Quarantine
-from swifttrestle.internal.state.crash_cases import Crash
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.crash_records import Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName
 
 RUN_SECONDS = 60.0
 AWAY_SECONDS = 4.0
--- a/src/swifttrestle/controller.py
+++ b/src/swifttrestle/controller.py
@@ -17,7 +17,8 @@
     StepActor,
     Tick,
 )
-from swifttrestle.internal.coordination.authority import ConfigAuthority
+from swifttrestle.internal.coordination.config_authority import ConfigAuthority
+from swifttrestle.internal.coordination.engine_views import PoolStatus
 from swifttrestle.internal.coordination.hosts import HostBook
 from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseKeeper
 from swifttrestle.internal.coordination.membership import OpenCounter
@@ -27,7 +28,6 @@
     Pool,
     make_http_engine,
 )
-from swifttrestle.internal.coordination.views import PoolStatus
 from swifttrestle.internal.policy.roles import RolePlanner, WeighedRoles
 from swifttrestle.internal.process import Process, run_program, wants_help
 from swifttrestle.internal.protocol.peers import CONTROLLER, ENTRY
--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -22,7 +22,11 @@
 )
 from swifttrestle.internal.clock import read_seconds
 from swifttrestle.internal.coordination.actors import STATUS
-from swifttrestle.internal.coordination.writes import plain_spec, read_or_none, write_once
+from swifttrestle.internal.coordination.conditional_writes import (
+    plain_spec,
+    read_or_none,
+    write_once,
+)
 from swifttrestle.internal.described import write_default
 from swifttrestle.internal.duty_report import describe_duties
 from swifttrestle.internal.explanation import explain_request, read_log_lines
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -12,22 +12,22 @@
 from typing import Any
 
 from swifttrestle.errors import InvalidSettingError
-from swifttrestle.internal.coordination.beliefs import BeliefKeeper
 from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
 from swifttrestle.internal.coordination.discovery import RETURN_SPREAD_SECONDS, Discovery
 from swifttrestle.internal.coordination.duties import Duties
 from swifttrestle.internal.coordination.entries import SkippedEntries
+from swifttrestle.internal.coordination.freshness_monitor import BeliefKeeper
 from swifttrestle.internal.coordination.gossip import Gossip
-from swifttrestle.internal.coordination.kept_parts import KeptPartsLoader
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
+from swifttrestle.internal.coordination.prompt_cache_loader import KeptPartsLoader
 from swifttrestle.internal.coordination.quarantine_relay import QuarantineRelay
 from swifttrestle.internal.coordination.quarantine_store import QuarantineStore
+from swifttrestle.internal.event_log import WRITER, log_decision
 from swifttrestle.internal.forward.booking import LocalBooker
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
 from swifttrestle.internal.forward.handler import GatewayHandler
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
-from swifttrestle.internal.forward.permits import Permits
-from swifttrestle.internal.forward.shared_booking import NUMBER_BITS, SharedBooker
-from swifttrestle.internal.lines import WRITER, log_decision
+from swifttrestle.internal.forward.rate_limiter import Permits
+from swifttrestle.internal.forward.scheduled_booking import NUMBER_BITS, SharedBooker
 from swifttrestle.internal.listeners import Listeners
 from swifttrestle.internal.loop import run_in_loop
 from swifttrestle.internal.metrics import Metrics
@@ -36,8 +36,8 @@
 from swifttrestle.internal.settings_file import watch_settings_file
 from swifttrestle.internal.state.declared import Configuration
 from swifttrestle.internal.state.fleet import Fleet, Instance
+from swifttrestle.internal.state.median_clock import TrueTime
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.true_time import TrueTime
 from swifttrestle.internal.transport.datagrams import PeerSocket
 from swifttrestle.internal.transport.pool import ConnectionPool
 from swifttrestle.platform.settings import (
--- a/src/swifttrestle/internal/coordination/acceptance.py
+++ b/src/swifttrestle/internal/coordination/acceptance.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Success
 
-from swifttrestle.internal.coordination.writes import plain_spec
+from swifttrestle.internal.coordination.conditional_writes import plain_spec
 from swifttrestle.internal.protocol.platform import StoredObject
 from swifttrestle.resources import (
     KINDS,
--- a/src/swifttrestle/internal/coordination/capacity.py
+++ b/src/swifttrestle/internal/coordination/capacity.py
@@ -7,7 +7,7 @@
 
 from swifttrestle.errors import LeaseLostError
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.capacity import (
     NeedMemory,
--- a/src/swifttrestle/internal/coordination/authority.py
+++ b/src/swifttrestle/internal/coordination/config_authority.py
@@ -2,9 +2,9 @@
 
 from swifttrestle.errors import ConflictError, LeaseLostError, PlatformUnavailableError
 from swifttrestle.internal.coordination.acceptance import decide_acceptance, split_shards
+from swifttrestle.internal.coordination.conditional_writes import read_or_none, write_once
 from swifttrestle.internal.coordination.leases import LeaseKeeper
-from swifttrestle.internal.coordination.watcher import ObjectCache
-from swifttrestle.internal.coordination.writes import read_or_none, write_once
+from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.logs import log_change, log_fault
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.platform import ObjectApi
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -12,10 +12,10 @@
 )
 from swifttrestle.internal.clock import read_seconds
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.backoff import draw_pause
 from swifttrestle.internal.protocol.copies import ConfigurationCopy
-from swifttrestle.internal.state.belief import ConfigurationBelief
+from swifttrestle.internal.state.config_freshness import ConfigurationBelief
 from swifttrestle.internal.state.declared import Configuration
 from swifttrestle.internal.state.routes import RouteTable
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import HistoryGoneError, PlatformUnavailableError
-from swifttrestle.internal.coordination.copied_entries import CopiedEntries
 from swifttrestle.internal.coordination.entries import SkippedEntries, UpstreamEntries
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
 from swifttrestle.internal.coordination.removals import Removals
-from swifttrestle.internal.coordination.store_contact import StoreContact
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.coordination.restored_entries import CopiedEntries
+from swifttrestle.internal.coordination.store_availability import StoreContact
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.backoff import draw_pause
 from swifttrestle.internal.protocol.listings import ListingChanges, join_changes
 from swifttrestle.internal.state.declared import UpstreamRecord
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from swifttrestle.internal.coordination.beliefs import BeliefKeeper
 from swifttrestle.internal.coordination.capacity import CapacityDuty
 from swifttrestle.internal.coordination.discovery import Discovery
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
 from swifttrestle.internal.coordination.entries import SkippedEntries
+from swifttrestle.internal.coordination.freshness_monitor import BeliefKeeper
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.coordination.roles import RoleDuty
 from swifttrestle.internal.coordination.usage import UsageDuty
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.state.declared import Configuration
+from swifttrestle.internal.state.median_clock import TrueTime
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.true_time import TrueTime
 from swifttrestle.internal.transport.datagrams import PeerSocket
 from swifttrestle.internal.transport.pool import ConnectionPool
 from swifttrestle.platform.duties import DutyCalls
--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -22,7 +22,7 @@
     PlatformUnavailableError,
 )
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.duties import (
     DutyLease,
     RecordedOrder,
--- a/src/swifttrestle/internal/coordination/entries.py
+++ b/src/swifttrestle/internal/coordination/entries.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from swifttrestle.errors import BadEntryError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.platform.objects import StoredObject, UnreadObject
--- a/src/swifttrestle/internal/coordination/exchange.py
+++ b/src/swifttrestle/internal/coordination/exchange.py
@@ -4,7 +4,7 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.protocol.copies import LARGEST_CONFIGURATION, pack_copy, unpack_copy
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
 
--- a/src/swifttrestle/internal/coordination/beliefs.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -14,18 +14,18 @@
 from swifttrestle.errors import BadEntryError, NotFoundError, PlatformUnavailableError
 from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
 from swifttrestle.internal.coordination.representatives import Representatives
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.revocation import is_young
 from swifttrestle.internal.policy.scheduling import is_large
-from swifttrestle.internal.protocol.beliefs import (
+from swifttrestle.internal.protocol.freshness import (
     BeliefAnswer,
     BeliefQuestion,
     pack_answer,
     pack_question,
     unpack_belief,
 )
+from swifttrestle.internal.state.median_clock import TrueTime
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.true_time import TrueTime
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
 # Shares of the bound, and the bound by which they are taken where it is longer, in seconds. With
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -14,12 +14,12 @@
 from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
 from swifttrestle.internal.coordination.entries import SkippedEntries
 from swifttrestle.internal.coordination.exchange import ConfigurationExchange
-from swifttrestle.internal.coordination.hearers import Hearers
-from swifttrestle.internal.coordination.ordered_roles import OrderedRoles
+from swifttrestle.internal.coordination.recipients import Hearers
 from swifttrestle.internal.coordination.registration import register_host, restore_registration
+from swifttrestle.internal.coordination.role_orders import OrderedRoles
 from swifttrestle.internal.coordination.rosters import Rosters
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
 from swifttrestle.internal.protocol.rosters import Summary
 from swifttrestle.internal.state.declared import Role
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -21,8 +21,8 @@
 )
 from swifttrestle.internal.checks import split_address
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.coordination.watcher import ObjectCache
-from swifttrestle.internal.coordination.writes import change_object, read_or_none
+from swifttrestle.internal.coordination.conditional_writes import change_object, read_or_none
+from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.logs import log_change, log_fault
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.peers import (
--- a/src/swifttrestle/internal/coordination/pools.py
+++ b/src/swifttrestle/internal/coordination/pools.py
@@ -20,12 +20,12 @@
     UpstreamError,
 )
 from swifttrestle.internal.clock import Clock
+from swifttrestle.internal.coordination.engine_views import EngineView, PoolStatus, show_view
 from swifttrestle.internal.coordination.hosts import HostBook
 from swifttrestle.internal.coordination.leases import Holder, LeaseKeeper, make_fence
 from swifttrestle.internal.coordination.membership import MEMBER, Membership, read_member
+from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.coordination.orders import Order, OrderLog, Stage
-from swifttrestle.internal.coordination.views import EngineView, PoolStatus, show_view
-from swifttrestle.internal.coordination.watcher import ObjectCache
 from swifttrestle.internal.logs import log_change, log_fault
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.roles import EngineLoad, RolePlanner
--- a/src/swifttrestle/internal/coordination/kept_parts.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from swifttrestle.errors import UpstreamError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.scheduling import find_group
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Fleet, Instance
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -13,9 +13,9 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Sequence
 
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.crash_guard import CrashGuard
-from swifttrestle.internal.lines import log_decision
-from swifttrestle.internal.policy.keepers import KeeperRing
+from swifttrestle.internal.policy.hash_ring import KeeperRing
 from swifttrestle.internal.policy.quarantine import is_quarantined
 from swifttrestle.internal.policy.scheduling import is_large
 from swifttrestle.internal.protocol.quarantine import (
@@ -26,9 +26,9 @@
     split_cases,
     unpack_news,
 )
-from swifttrestle.internal.state.crash_cases import Case
+from swifttrestle.internal.state.crash_records import Case
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
 # Seconds between two times at which a host tells others, drawn by lot, of what is quarantined.
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -13,15 +13,15 @@
 from swifttrestle.errors import BadEntryError, NotFoundError
 from swifttrestle.internal.checks import LARGEST_SIGNED, check_text, check_whole
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.coordination.store_tries import try_until_done
+from swifttrestle.internal.coordination.store_retry import try_until_done
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.crash_guard import CrashGuard
-from swifttrestle.internal.lines import log_decision
 from swifttrestle.internal.policy.placement import rank
 from swifttrestle.internal.policy.quarantine import FORGET_SECONDS
 from swifttrestle.internal.protocol.quarantine import pack_name, read_name
-from swifttrestle.internal.state.crash_cases import Case, Crash
+from swifttrestle.internal.state.crash_records import Case, Crash
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle.platform.objects import StoredObject
 from swifttrestle.platform.store import ObjectStore
 
--- a/src/swifttrestle/internal/coordination/removals.py
+++ b/src/swifttrestle/internal/coordination/removals.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from swifttrestle.internal.hooks import ignore
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.peers import NEVER
 from swifttrestle.internal.state.store_epochs import StoreRevision
--- a/src/swifttrestle/internal/coordination/ordered_roles.py
+++ b/src/swifttrestle/internal/coordination/role_orders.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Fleet
 
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -12,10 +12,10 @@
 )
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
 from swifttrestle.internal.coordination.gossip import Gossip
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.ejection import Ejector
 from swifttrestle.internal.policy.role_delay import RoleDelay
-from swifttrestle.internal.policy.split import RoleChange, plan_change
+from swifttrestle.internal.policy.role_split import RoleChange, plan_change
 from swifttrestle.internal.state.declared import Configuration, EngineTraits, Role
 from swifttrestle.internal.state.demand import Demand, DemandMeter
 from swifttrestle.internal.state.fleet import Fleet, Instance
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.protocol.rosters import (
     Mark,
     Part,
--- a/src/swifttrestle/internal/coordination/store_tries.py
+++ b/src/swifttrestle/internal/coordination/store_retry.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 
 from swifttrestle.errors import ConflictError, PlatformUnavailableError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 
 # Least seconds between two tries, and the most that chance adds to them: a store that comes back
 # must not meet all hosts at once.
--- a/src/swifttrestle/internal/coordination/usage.py
+++ b/src/swifttrestle/internal/coordination/usage.py
@@ -7,17 +7,17 @@
 
 from swifttrestle.errors import LeaseLostError
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.reporting import (
+from swifttrestle.internal.policy.usage_windows import (
     is_doubtful,
     list_due_windows,
     list_open_reports,
 )
 from swifttrestle.internal.protocol.usage import split_counts, unpack_counts
 from swifttrestle.internal.state.duties import DutyLease, RecordedUsage, UsageDraft
+from swifttrestle.internal.state.median_clock import TrueTime
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.true_time import TrueTime
 from swifttrestle.internal.state.usage import KEPT_WINDOWS, UsageMeter, find_window
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 from swifttrestle.platform.duties import Authority, CallOutcome, DutyCalls
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -15,8 +15,8 @@
 from swifttrestle.internal.logs import log_change
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import Quarantine
-from swifttrestle.internal.state.crash_cases import Crash
-from swifttrestle.internal.state.request_names import RequestName, digest_parts
+from swifttrestle.internal.state.crash_records import Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName, digest_parts
 
 # Seconds in which the look at an upstream's address must be answered.
 LOOK_SECONDS = 0.3
--- a/src/swifttrestle/internal/entry/idempotency.py
+++ b/src/swifttrestle/internal/entry/idempotency.py
@@ -20,7 +20,7 @@
     RefusedError,
 )
 from swifttrestle.internal.clock import read_seconds
-from swifttrestle.internal.coordination.writes import write_once
+from swifttrestle.internal.coordination.conditional_writes import write_once
 from swifttrestle.internal.protocol.platform import ObjectApi
 from swifttrestle.resources import Service
 
--- a/src/swifttrestle/internal/entry/serving.py
+++ b/src/swifttrestle/internal/entry/serving.py
@@ -22,12 +22,12 @@
 from swifttrestle.internal.entry.waiting import AdmissionRequest, BlockingAdmissionQueue
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.admission import DeadlineAdmission
-from swifttrestle.internal.policy.retries import RetryBudget
+from swifttrestle.internal.policy.retry_budget import RetryBudget
 from swifttrestle.internal.policy.routing import URGENT, Work
 from swifttrestle.internal.protocol.calls import EngineCall, PlainAnswer, call_plain
 from swifttrestle.internal.protocol.prefixes import count_tokens, split_blocks
 from swifttrestle.internal.state.config import ConfigStore
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle.internal.state.upstreams import Selection, UpstreamTable, excluding
 from swifttrestle.internal.transport.http import Exchange, Handler
 from swifttrestle.resources import ResourceSet, Service
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from swifttrestle.internal.forward.finding import EngineFinder
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.forward.turns import TurnPredictor
 from swifttrestle.internal.policy.queueing import AdmissionQueue
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom, Outcome, Stage
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Iterable
 
 from swifttrestle.errors import UpstreamHeldError
-from swifttrestle.internal.hooks import ignore
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.state.backpressure import Backpressure
-from swifttrestle.internal.state.conditions import NEVER, Condition, RateWord
 from swifttrestle.internal.state.fleet import Fleet, Instance
+from swifttrestle.internal.state.upstream_conditions import NEVER, Condition, RateWord
 from swifttrestle.internal.transport.messages import AnswerHead
 from swifttrestle.platform.backpressure import read_backpressure
 from swifttrestle.platform.wire import is_of_instance, names_request
--- a/src/swifttrestle/internal/forward/context.py
+++ b/src/swifttrestle/internal/forward/context.py
@@ -10,7 +10,7 @@
 from swifttrestle.errors import RefusedError
 from swifttrestle.internal.state.declared import Repeat, Route, ServiceDeclaration, Workspace
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.state.request_names import RequestName, name_head, name_request
+from swifttrestle.internal.state.request_fingerprints import RequestName, name_head, name_request
 from swifttrestle.internal.transport.caller import IncomingRequest, Reply
 from swifttrestle.internal.transport.messages import Header
 from swifttrestle.platform.wire import RequestFacts
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -5,15 +5,15 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Collection, Sequence
 
 from swifttrestle.codes import Code
+from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.crashes import CrashWatch
-from swifttrestle.internal.hooks import ignore
-from swifttrestle.internal.lines import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import Quarantine, is_quarantined
-from swifttrestle.internal.state.crash_cases import Case, Crash
+from swifttrestle.internal.state.crash_records import Case, Crash
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle.internal.transport.pool import ConnectionPool
 
 # Seconds after which to ask again while another copy of the request is tried: about as long as a
--- a/src/swifttrestle/internal/forward/crashes.py
+++ b/src/swifttrestle/internal/forward/crashes.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, replace
 
 from swifttrestle.errors import UpstreamUnreachedError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle.internal.transport.pool import ConnectionPool
 
 # Seconds for which a request that broke off may still turn out to have been open at a crash. An
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -16,7 +16,7 @@
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.events import EventRelay
 from swifttrestle.internal.forward.finding import LATE_WAIT_SHARE, reads_soon
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.forward.reading import (
     DirectReading,
     PromptReader,
--- a/src/swifttrestle/internal/forward/finding.py
+++ b/src/swifttrestle/internal/forward/finding.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.policy.fetching import FetchPlan, list_sources, plan_fetch
 from swifttrestle.internal.policy.placement import pick_decoder, pick_reader
 from swifttrestle.internal.policy.scheduling import find_group
--- a/src/swifttrestle/internal/forward/parts.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -14,11 +14,11 @@
     UpstreamSilentError,
     UpstreamUnreachedError,
 )
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.conditions import Conditions
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.crash_guard import CrashGuard
-from swifttrestle.internal.forward.permits import NoLimits, PermitSource
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.forward.rate_limiter import NoLimits, PermitSource
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.ejection import (
     REFUSED_CONNECTION_WEIGHT,
@@ -26,7 +26,7 @@
     Ejector,
 )
 from swifttrestle.internal.policy.quarantine import Quarantine
-from swifttrestle.internal.policy.windows import WindowedRetryBudget
+from swifttrestle.internal.policy.retry_window import WindowedRetryBudget
 from swifttrestle.internal.state.bookings import Outcome
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.demand import DemandMeter
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -7,12 +7,12 @@
 
 from swifttrestle.codes import TABLE, Code, Ran
 from swifttrestle.errors import CallerGoneError, RefusedError, SwifttrestleError
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.engines import EngineForwarder
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.forward.plain import PlainForwarder
-from swifttrestle.internal.lines import log_decision
 from swifttrestle.internal.policy.revocation import (
     CONFIRM_RETRY_SECONDS,
     Verdict,
--- a/src/swifttrestle/internal/forward/plain.py
+++ b/src/swifttrestle/internal/forward/plain.py
@@ -14,7 +14,7 @@
 from swifttrestle.internal.forward.attempt import AttemptPlan, make_attempt
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.events import EventRelay
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.policy.placement import pick_plain
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance, OpenWork
--- a/src/swifttrestle/internal/forward/permits.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 
 from swifttrestle.errors import UpstreamHeldError
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.conditions import Conditions
 from swifttrestle.internal.forward.context import Context
-from swifttrestle.internal.lines import log_decision
 from swifttrestle.internal.policy.rate_limits import (
     ASKS,
     LEAST_RATE,
@@ -32,10 +32,10 @@
     pack_message,
     unpack_message,
 )
-from swifttrestle.internal.state.conditions import NEVER, RateWord
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.upstream_conditions import NEVER, RateWord
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
 # Seconds to wait for a keeper's answer: some round trips between zones and a turn of its loop.
--- a/src/swifttrestle/internal/forward/reading.py
+++ b/src/swifttrestle/internal/forward/reading.py
@@ -11,11 +11,11 @@
     UpstreamLeavingError,
     UpstreamSilentError,
 )
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.attempt import build_request
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
-from swifttrestle.internal.forward.parts import Parts
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.state.bookings import Booking, Outcome, Stage
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.transport.messages import Framing
--- a/src/swifttrestle/internal/forward/shared_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, replace
 
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.booking import Booker, LocalBooker
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.forward.scheduler import Scheduler
-from swifttrestle.internal.lines import log_decision
-from swifttrestle.internal.policy.homes import list_homes, weigh_zones
+from swifttrestle.internal.policy.home_zones import list_homes, weigh_zones
 from swifttrestle.internal.policy.scheduling import (
     find_scheduler,
     is_large,
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -6,7 +6,7 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.protocol.bookings import Ask, End, Grant, Message, Refuse, Wait
 from swifttrestle.internal.state.bookings import (
     Booking,
--- a/src/swifttrestle/internal/forward/turns.py
+++ b/src/swifttrestle/internal/forward/turns.py
@@ -3,7 +3,7 @@
 import asyncio
 import math
 
-from swifttrestle.internal.forward.parts import Parts
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.policy.scheduling import find_group, is_large
 from swifttrestle.internal.policy.waiting import Backlog, predict_late_turn
 from swifttrestle.internal.state.bookings import BookingRequest
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -10,10 +10,10 @@
 from swifttrestle.internal.coordination.discovery import Discovery
 from swifttrestle.internal.coordination.duties import Duties
 from swifttrestle.internal.coordination.gossip import Gossip
-from swifttrestle.internal.forward.parts import Parts
-from swifttrestle.internal.lines import WRITER
+from swifttrestle.internal.event_log import WRITER
+from swifttrestle.internal.forward.gateway_state import Parts
 from swifttrestle.internal.pages import Page, PageHandler
-from swifttrestle.internal.state.request_names import read_shown_name
+from swifttrestle.internal.state.request_fingerprints import read_shown_name
 from swifttrestle.internal.state_dump import describe_fleet, describe_quarantine
 from swifttrestle.platform.store import ObjectStore
 
--- a/src/swifttrestle/internal/policy/capacity.py
+++ b/src/swifttrestle/internal/policy/capacity.py
@@ -14,7 +14,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from swifttrestle.internal.policy.split import LEAST_DECODERS, PLANNED_SHARE
+from swifttrestle.internal.policy.role_split import LEAST_DECODERS, PLANNED_SHARE
 from swifttrestle.internal.state.declared import Scaling
 from swifttrestle.internal.state.demand import Demand
 from swifttrestle.internal.state.fleet import UNKNOWN_READ_RATE, Instance
--- a/src/swifttrestle/internal/policy/keepers.py
+++ b/src/swifttrestle/internal/policy/hash_ring.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_names import HALF_BYTES, RequestName
+from swifttrestle.internal.state.request_fingerprints import HALF_BYTES, RequestName
 
 # Hosts that keep the case of a request: one may be lost unnoticed.
 KEEPERS = 2
--- a/src/swifttrestle/internal/policy/homes.py
+++ b/src/swifttrestle/internal/policy/home_zones.py
@@ -16,7 +16,7 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 
 from swifttrestle.internal.policy.placement import rank
-from swifttrestle.internal.policy.split import ENOUGH_ENGINES
+from swifttrestle.internal.policy.role_split import ENOUGH_ENGINES
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.prompt_cache import PromptPart
 
--- a/src/swifttrestle/internal/policy/quarantine.py
+++ b/src/swifttrestle/internal/policy/quarantine.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from swifttrestle.internal.state.crash_cases import Case, Crash
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName
 
 # Crashes under which a request was open, without an answer since, from which on it is kept from
 # upstreams. Most of what is open at a crash is innocent; little of that is open at the next one.
--- a/src/swifttrestle/internal/policy/role_delay.py
+++ b/src/swifttrestle/internal/policy/role_delay.py
@@ -4,7 +4,7 @@
 is wanted for a shorter time than the change takes is over before it could serve anybody.
 """
 
-from swifttrestle.internal.policy.split import RoleChange
+from swifttrestle.internal.policy.role_split import RoleChange
 from swifttrestle.internal.state.declared import Role
 
 
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from swifttrestle.internal.policy.placement import rank
-from swifttrestle.internal.policy.split import ENOUGH_ENGINES
+from swifttrestle.internal.policy.role_split import ENOUGH_ENGINES
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
 
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -18,7 +18,7 @@
     bind_listener,
     take_incarnation,
 )
-from swifttrestle.internal.coordination.watcher import ObjectCache
+from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.logs import log_change, setup_logs
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.peers import Identity
--- a/src/swifttrestle/internal/protocol/permits.py
+++ b/src/swifttrestle/internal/protocol/permits.py
@@ -9,7 +9,7 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.checks import LARGEST_SIGNED, check_number, check_whole
-from swifttrestle.internal.state.conditions import RateWord
+from swifttrestle.internal.state.upstream_conditions import RateWord
 
 # Characters that the name of a start may have in a datagram.
 LONGEST_START = 400
--- a/src/swifttrestle/internal/protocol/quarantine.py
+++ b/src/swifttrestle/internal/protocol/quarantine.py
@@ -12,8 +12,8 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.protocol.gossip import LARGEST_DATAGRAM
-from swifttrestle.internal.state.crash_cases import Case, Crash
-from swifttrestle.internal.state.request_names import HALF_BYTES, RequestName
+from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.request_fingerprints import HALF_BYTES, RequestName
 
 # Cases in one datagram: each takes 170 bytes with four crashes of usual names.
 CASES_PER_PART = LARGEST_DATAGRAM // 172
--- a/src/swifttrestle/internal/state/crash_cases.py
+++ b/src/swifttrestle/internal/state/crash_records.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 
 
 @dataclass(frozen=True)
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
 
-from swifttrestle.internal.hooks import ignore
+from swifttrestle.internal.callbacks import ignore
 from swifttrestle.internal.state.declared import EngineTraits, Role, UpstreamRecord
 from swifttrestle.internal.state.prompt_cache import PromptCache, SentPrompt
 
--- a/src/swifttrestle/internal/state/store_epochs.py
+++ b/src/swifttrestle/internal/state/store_epochs.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import OldEpochError
-from swifttrestle.internal.hooks import ignore
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.event_log import log_decision
 
 # Seconds for which a store must have named nothing but a lower epoch until that one counts: far
 # over the time in which answers from before a return may still arrive.
--- a/src/swifttrestle/internal/transport/caller.py
+++ b/src/swifttrestle/internal/transport/caller.py
@@ -13,7 +13,7 @@
 import httptools
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.declared import Limits
 from swifttrestle.internal.transport.messages import (
     LAST_CHUNK,
--- a/src/swifttrestle/internal/transport/datagrams.py
+++ b/src/swifttrestle/internal/transport/datagrams.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 
 Receiver = Callable[[bytes, str], None]
 
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import UpstreamUnreachedError
-from swifttrestle.internal.hooks import ignore
+from swifttrestle.internal.callbacks import ignore
 from swifttrestle.internal.transport.messages import AnswerHead
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest, UpstreamConnection
 
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -7,7 +7,7 @@
 import httptools
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.hooks import ignore
+from swifttrestle.internal.callbacks import ignore
 from swifttrestle.internal.transport.messages import (
     LAST_CHUNK,
     AnswerHead,
--- a/src/swifttrestle/platform/duties.py
+++ b/src/swifttrestle/platform/duties.py
@@ -9,7 +9,7 @@
 import orjson
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.lines import log_decision
+from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.transport.messages import Body, Framing
 from swifttrestle.internal.transport.pool import ConnectionPool, call_once
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest
--- a/tests/cover/test_backpressure.py
+++ b/tests/cover/test_backpressure.py
@@ -17,7 +17,7 @@
     unpack_message,
 )
 from swifttrestle.internal.state.backpressure import Backpressure
-from swifttrestle.internal.state.conditions import RateWord
+from swifttrestle.internal.state.upstream_conditions import RateWord
 from swifttrestle.platform.backpressure import read_backpressure
 
 LIMIT, LEAVING, REST = b"Server-Limit", b"server-leaving", b"Retry-After"
--- a/tests/cover/test_bookings.py
+++ b/tests/cover/test_bookings.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.forward import shared_booking
+from swifttrestle.internal.forward import scheduled_booking
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
-from swifttrestle.internal.forward.shared_booking import SharedBooker
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.scheduled_booking import SharedBooker
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.scheduling import find_group, find_scheduler, is_large
 from swifttrestle.internal.protocol.bookings import (
@@ -81,8 +81,8 @@
 
 def run_hosts(act, monkeypatch, names="hij", engines=TWO_ENGINES, answer_seconds=30.0):
     """Run `act` with the hosts, the scheduler first."""
-    monkeypatch.setattr(shared_booking, "is_large", lambda _: True)
-    monkeypatch.setattr(shared_booking, "ANSWER_SECONDS", answer_seconds)
+    monkeypatch.setattr(scheduled_booking, "is_large", lambda _: True)
+    monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", answer_seconds)
 
     async def whole():
         network = Network()
@@ -166,7 +166,7 @@
 def test_a_silent_scheduler_is_replaced_by_own_knowledge_and_left_alone_for_a_while(monkeypatch):
     async def act(network, members, scheduler, other, _):
         network.lose = lambda message: isinstance(message, Grant)
-        for _ in range(shared_booking.SILENCES_TO_PAUSE):
+        for _ in range(scheduled_booking.SILENCES_TO_PAUSE):
             booking = await other.booker.book(REQUEST)
             assert booking.ticket is None
             await settle()
@@ -177,7 +177,7 @@
         end_all(other, await other.booker.book(REQUEST))
         assert not network.sent
 
-    monkeypatch.setattr(shared_booking, "SILENT_SECONDS", 30.0)
+    monkeypatch.setattr(scheduled_booking, "SILENT_SECONDS", 30.0)
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
 
@@ -186,7 +186,7 @@
         network.lose = lambda message: isinstance(message, Grant)
         end_all(other, await other.booker.book(REQUEST))
         network.lose = lambda message: False
-        monkeypatch.setattr(shared_booking, "ANSWER_SECONDS", 30.0)
+        monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", 30.0)
         assert (await other.booker.book(REQUEST)).ticket is not None
 
     run_hosts(act, monkeypatch, answer_seconds=0.05)
--- a/tests/cover/test_conditions.py
+++ b/tests/cover/test_conditions.py
@@ -7,11 +7,11 @@
 
 from swifttrestle.errors import UpstreamHeldError
 from swifttrestle.internal.forward.conditions import LONGEST_REST_SECONDS, UNKNOWN_REST_SECONDS
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.state.conditions import TRIAL_SECONDS, RateWord
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
+from swifttrestle.internal.state.upstream_conditions import TRIAL_SECONDS, RateWord
 from swifttrestle.internal.transport.messages import AnswerHead, Framing
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
--- a/tests/cover/test_ejection_trials.py
+++ b/tests/cover/test_ejection_trials.py
@@ -3,7 +3,7 @@
 import pytest
 
 from swifttrestle.errors import UpstreamBrokenError, UpstreamUnreachedError
-from swifttrestle.internal.forward.parts import weigh_failure
+from swifttrestle.internal.forward.gateway_state import weigh_failure
 from swifttrestle.internal.policy.ejection import TRIAL_SECONDS, Ejector
 
 GROUP = ["a", "b", "c", "d"]
--- a/tests/cover/test_fetching.py
+++ b/tests/cover/test_fetching.py
@@ -7,7 +7,7 @@
 import pytest
 
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
 from swifttrestle.internal.forward.reading import find_source_address
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.fetching import list_sources, plan_fetch
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -12,11 +12,11 @@
     PlatformUnavailableError,
 )
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
-from swifttrestle.internal.forward.parts import RetryBudgets
+from swifttrestle.internal.forward.gateway_state import RetryBudgets
 from swifttrestle.internal.policy.placement import pick_decoder, pick_plain, pick_reader
 from swifttrestle.internal.policy.queueing import AdmissionQueue
-from swifttrestle.internal.policy.split import count_decoders, find_best_count, plan_change
-from swifttrestle.internal.policy.windows import WindowedRetryBudget
+from swifttrestle.internal.policy.retry_window import WindowedRetryBudget
+from swifttrestle.internal.policy.role_split import count_decoders, find_best_count, plan_change
 from swifttrestle.internal.state.declared import Configuration, Repeat, Role, Route, UpstreamRecord
 from swifttrestle.internal.state.demand import Demand, DemandMeter
 from swifttrestle.internal.state.fleet import Fleet, Instance, OpenWork
--- a/tests/cover/test_homes.py
+++ b/tests/cover/test_homes.py
@@ -14,12 +14,12 @@
 
 from bench.division import SCREENING, SMALL, ByCaller, ByPart, Story, play
 from swifttrestle.errors import InvalidSettingError
-from swifttrestle.internal.forward import shared_booking
+from swifttrestle.internal.forward import scheduled_booking
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
-from swifttrestle.internal.forward.shared_booking import SharedBooker
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.scheduled_booking import SharedBooker
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.homes import list_homes, rank_zones, weigh_zones
+from swifttrestle.internal.policy.home_zones import list_homes, rank_zones, weigh_zones
 from swifttrestle.internal.policy.scheduling import find_scheduler
 from swifttrestle.internal.protocol.bookings import Ask
 from swifttrestle.internal.state.bookings import Booking, BookingRequest
@@ -152,8 +152,8 @@
 
 
 def run_hosts(act, monkeypatch, answer_seconds=30.0):
-    monkeypatch.setattr(shared_booking, "is_large", lambda _: True)
-    monkeypatch.setattr(shared_booking, "ANSWER_SECONDS", answer_seconds)
+    monkeypatch.setattr(scheduled_booking, "is_large", lambda _: True)
+    monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", answer_seconds)
 
     async def whole():
         network = Network()
@@ -230,7 +230,7 @@
         looks.append(group)
         return find_scheduler(members, service, group)
 
-    monkeypatch.setattr(shared_booking, "find_scheduler", look)
+    monkeypatch.setattr(scheduled_booking, "find_scheduler", look)
 
     async def act(network, members, hosts):
         for number in range(60):
--- a/tests/cover/test_kept_parts.py
+++ b/tests/cover/test_kept_parts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.coordination.kept_parts import MOST_ASKED, KeptPartsLoader
+from swifttrestle.internal.coordination.prompt_cache_loader import MOST_ASKED, KeptPartsLoader
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.prompt_cache import PromptPart
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -3,8 +3,8 @@
 import pytest
 
 from swifttrestle.errors import ConflictError, LeaseLostError
+from swifttrestle.internal.coordination.conditional_writes import change_object, write_once
 from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseKeeper, make_fence
-from swifttrestle.internal.coordination.writes import change_object, write_once
 from tests.common.fakes import FakeApi, FakeCache, FakeClock
 
 DURATION, MARGIN = 9.0, 1.0
--- a/tests/cover/test_lines.py
+++ b/tests/cover/test_lines.py
@@ -5,8 +5,8 @@
 
 import orjson
 
-from swifttrestle.internal import lines
-from swifttrestle.internal.lines import QUEUE_LINES, LineWriter
+from swifttrestle.internal import event_log
+from swifttrestle.internal.event_log import QUEUE_LINES, LineWriter
 
 
 def test_a_reader_that_is_stuck_holds_nobody_up_and_what_was_dropped_is_told():
@@ -42,7 +42,7 @@
 
 
 def test_lines_are_json_with_time_host_and_event(tmp_path, monkeypatch):
-    monkeypatch.setattr(lines, "DRAIN_SECONDS", 0.0)
+    monkeypatch.setattr(event_log, "DRAIN_SECONDS", 0.0)
     with (tmp_path / "out").open("wb") as out:
         writer = LineWriter(out.fileno())
         writer.start("host-1")
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -6,9 +6,9 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.coordination.candidates import RoleCandidates
-from swifttrestle.internal.coordination.ordered_roles import OrderedRoles
+from swifttrestle.internal.coordination.role_orders import OrderedRoles
 from swifttrestle.internal.coordination.rosters import Rosters
-from swifttrestle.internal.coordination.store_contact import StoreContact
+from swifttrestle.internal.coordination.store_availability import StoreContact
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
 from swifttrestle.internal.policy.scheduling import list_representatives
 from swifttrestle.internal.protocol.rosters import (
--- a/tests/cover/test_policies.py
+++ b/tests/cover/test_policies.py
@@ -12,7 +12,7 @@
 )
 from swifttrestle.internal.policy.admission import DeadlineAdmission, Decision
 from swifttrestle.internal.policy.ejection import FAILURES_TO_EJECT, Ejector
-from swifttrestle.internal.policy.retries import RetryBudget
+from swifttrestle.internal.policy.retry_budget import RetryBudget
 from swifttrestle.internal.policy.routing import Candidate, LeastPredicted, LeastReported, Work
 from swifttrestle.internal.protocol.peers import ShardCopy
 from swifttrestle.internal.protocol.platform import StoredObject
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -6,7 +6,7 @@
 import pytest
 
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.placement import pick_reader
 from swifttrestle.internal.protocol.bookings import Ask, Grant, pack_message, unpack_message
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.policy.keepers import KEEPERS, KeeperRing
+from swifttrestle.internal.policy.hash_ring import KEEPERS, KeeperRing
 from swifttrestle.internal.policy.quarantine import (
     CRASHES_TO_QUARANTINE,
     FIRST_SECONDS,
@@ -30,9 +30,9 @@
     split_cases,
     unpack_news,
 )
-from swifttrestle.internal.state.crash_cases import Case, Crash
+from swifttrestle.internal.state.crash_records import Case, Crash
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_names import RequestName, name_head, name_request
+from swifttrestle.internal.state.request_fingerprints import RequestName, name_head, name_request
 from swifttrestle.internal.transport.messages import Body, Framing, RequestHead
 
 NOW = 1000.0
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -19,9 +19,9 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import FIRST_SECONDS, Quarantine
 from swifttrestle.internal.policy.scheduling import is_large
-from swifttrestle.internal.state.crash_cases import Crash
+from swifttrestle.internal.state.crash_records import Crash
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
 # Seconds that a datagram takes at most, and within which all hosts must know.
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -5,21 +5,21 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import BadEntryError, FrameError
-from swifttrestle.internal.coordination import beliefs
+from swifttrestle.internal.coordination import freshness_monitor
 from swifttrestle.internal.policy import revocation
 from swifttrestle.internal.policy.revocation import Verdict, judge_key
-from swifttrestle.internal.protocol.beliefs import (
+from swifttrestle.internal.protocol.freshness import (
     BeliefAnswer,
     BeliefQuestion,
     pack_answer,
     pack_question,
     unpack_belief,
 )
-from swifttrestle.internal.state.belief import ConfigurationBelief
+from swifttrestle.internal.state.config_freshness import ConfigurationBelief
 from swifttrestle.internal.state.declared import Workspace
+from swifttrestle.internal.state.median_clock import TrueTime
 from swifttrestle.internal.state.peers import NEVER
 from swifttrestle.internal.state.routes import RouteTable
-from swifttrestle.internal.state.true_time import TrueTime
 from swifttrestle.internal.state.workspaces import WorkspaceKeys, digest_key
 from swifttrestle.platform.records import read_configuration
 from swifttrestle.platform.settings import read_host_settings
@@ -149,12 +149,12 @@
 
 def test_the_waits_of_a_calm_day_leave_the_bound_room_for_an_outage():
     """The sum in docs/INVARIANTS.md: a proof's age at most, with one lost question."""
-    jitter = 1 + beliefs.JITTER_SHARE / 2
-    ask = BOUND * beliefs.ASK_SHARE * jitter
-    calm = BOUND * beliefs.READ_SHARE * jitter + ask
+    jitter = 1 + freshness_monitor.JITTER_SHARE / 2
+    ask = BOUND * freshness_monitor.ASK_SHARE * jitter
+    calm = BOUND * freshness_monitor.READ_SHARE * jitter + ask
     assert calm <= 1.9
     # A host that lost one question asks everywhere with the next one.
-    assert calm + ask >= BOUND * beliefs.WIDEN_SHARE
+    assert calm + ask >= BOUND * freshness_monitor.WIDEN_SHARE
     # What is left of the bound for an outage of the store in which no request is refused.
     assert BOUND - revocation.CLOCK_MARGIN - calm >= 3.0
 
--- a/tests/cover/test_role_delay.py
+++ b/tests/cover/test_role_delay.py
@@ -3,7 +3,7 @@
 import pytest
 
 from swifttrestle.internal.policy.role_delay import RoleDelay
-from swifttrestle.internal.policy.split import RoleChange, plan_change
+from swifttrestle.internal.policy.role_split import RoleChange, plan_change
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.demand import Demand
 from swifttrestle.internal.state.fleet import Instance
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from swifttrestle.internal.coordination.ordered_roles import OrderedRoles
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
+from swifttrestle.internal.coordination.role_orders import OrderedRoles
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.fetching import list_sources
 from swifttrestle.internal.protocol.listings import ListingChanges, pack_changes, unpack_changes
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -6,10 +6,10 @@
 import pytest
 
 from swifttrestle.internal.coordination import (
-    beliefs,
     configuration,
     discovery,
     exchange,
+    freshness_monitor,
     gossip,
     quarantine_relay,
     removals,
@@ -55,11 +55,11 @@
 # The bound of a key that was taken away, and the longest pauses of those who prove versions.
 KEYS_BOUND = 5.0
 KEYS = KEYS_BOUND - revocation.CLOCK_MARGIN
-LONGEST_JITTER = 1 + beliefs.JITTER_SHARE / 2
-READ_PAUSE = KEYS_BOUND * beliefs.READ_SHARE * LONGEST_JITTER
-ASK_PAUSE = KEYS_BOUND * beliefs.ASK_SHARE * LONGEST_JITTER
+LONGEST_JITTER = 1 + freshness_monitor.JITTER_SHARE / 2
+READ_PAUSE = KEYS_BOUND * freshness_monitor.READ_SHARE * LONGEST_JITTER
+ASK_PAUSE = KEYS_BOUND * freshness_monitor.ASK_SHARE * LONGEST_JITTER
 QUESTION = 2 * DATAGRAM
-WIDENED = KEYS_BOUND * beliefs.WIDEN_SHARE
+WIDENED = KEYS_BOUND * freshness_monitor.WIDEN_SHARE
 SILENT_WATCH = discovery.WATCH_SECONDS + store.WATCH_MARGIN_SECONDS
 
 
--- a/tests/cover/test_usage.py
+++ b/tests/cover/test_usage.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import BadEntryError, FrameError
-from swifttrestle.internal.policy.reporting import (
+from swifttrestle.internal.policy.usage_windows import (
     GATHER_SECONDS,
     GIVE_UP_SECONDS,
     list_due_windows,
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -8,7 +8,7 @@
 import pytest
 
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.parts import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
 from swifttrestle.internal.forward.turns import TurnPredictor
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.placement import pick_reader
--- a/tests/hosted/test_deadly_requests.py
+++ b/tests/hosted/test_deadly_requests.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from swifttrestle.internal.forward.parts import LAST_BYTES_SECONDS
+from swifttrestle.internal.forward.gateway_state import LAST_BYTES_SECONDS
 from swifttrestle.internal.policy import scheduling
 from swifttrestle_standins.hosted.site import Crashing, wait_until
 from swifttrestle_standins.hosted.upstreams import DEADLY, DEADLY_PROMPT
--- a/tests/hosted/test_homes.py
+++ b/tests/hosted/test_homes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from swifttrestle.internal.policy import scheduling
-from swifttrestle.internal.policy.homes import rank_zones
+from swifttrestle.internal.policy.home_zones import rank_zones
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import StandInEngine
 from tests.common.http import ask
--- a/tests/hosted/test_innocents.py
+++ b/tests/hosted/test_innocents.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from swifttrestle.internal.state.crash_cases import Case, Crash
-from swifttrestle.internal.state.request_names import RequestName, name_request
+from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName, name_request
 from swifttrestle.internal.transport.messages import Body, Framing, RequestHead
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import DEADLY
--- a/tests/hosted/test_kept_quarantine.py
+++ b/tests/hosted/test_kept_quarantine.py
@@ -11,8 +11,8 @@
     QUARANTINE_NAME,
 )
 from swifttrestle.internal.protocol.quarantine import pack_name
-from swifttrestle.internal.state.crash_cases import Case, Crash
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle_standins.hosted.site import wait_until
 from tests.common.http import ask
 from tests.hosted.sites import address_of, on_site
--- a/tests/hosted/test_late_words.py
+++ b/tests/hosted/test_late_words.py
@@ -12,8 +12,8 @@
 import asyncio
 
 from swifttrestle.internal.policy.quarantine import FIRST_SECONDS, SPREAD
-from swifttrestle.internal.state.crash_cases import Crash
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.crash_records import Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle_standins.hosted.site import wait_until
 from tests.hosted.sites import on_site
 from tests.hosted.test_innocents import count_quarantined, find_guard
--- a/tests/hosted/test_store_returns.py
+++ b/tests/hosted/test_store_returns.py
@@ -7,8 +7,8 @@
 from swifttrestle.internal.coordination.quarantine_store import QUARANTINE_KIND, QUARANTINE_NAME
 from swifttrestle.internal.coordination.registration import PEER_KIND
 from swifttrestle.internal.policy import scheduling
-from swifttrestle.internal.state.crash_cases import Case, Crash
-from swifttrestle.internal.state.request_names import RequestName
+from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import StandInUpstream
 from tests.hosted.sites import bring_back, build_site, on_built, on_site, wait_in_force
--- a/tests/hosted/test_workspaces.py
+++ b/tests/hosted/test_workspaces.py
@@ -10,7 +10,7 @@
 import orjson
 
 from swifttrestle.codes import Code
-from swifttrestle.internal.lines import WRITER
+from swifttrestle.internal.event_log import WRITER
 from swifttrestle.internal.policy import scheduling
 from swifttrestle_standins.hosted.site import make_route, wait_until
 from tests.common.http import RawCaller, ask, write_request
