--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -12,13 +12,13 @@
 
 from swifttrestle.internal.policy.capacity import (
     CapacityPolicy,
-    LastingCapacity,
-    NeedMemory,
-    ReservedCapacity,
-    StandingCapacity,
+    NonReclaimableCapacity,
+    PeakNeed,
+    UnchangedCapacity,
     ZonePlan,
+    ZoneRedundantCapacity,
     ZoneUpstreams,
-    count_lasting_through,
+    count_after_zone_loss,
 )
 from swifttrestle.internal.state.declared import Scaling
 
@@ -45,10 +45,10 @@
 
 
 POLICIES: dict[str, CapacityPolicy] = {
-    "as it stands": StandingCapacity(),
-    "lasting alone": LastingCapacity(),
+    "as it stands": UnchangedCapacity(),
+    "lasting alone": NonReclaimableCapacity(),
     "reclaimable, no reserve": UnreservedCapacity(),
-    "reclaimable, reserve for a zone": ReservedCapacity(),
+    "reclaimable, reserve for a zone": ZoneRedundantCapacity(),
 }
 
 
@@ -115,8 +115,8 @@
     """Play one load under one way."""
     scaling = Scaling(1, 40, load.boot_seconds, PRICES, load.reclaimable_price)
     zones = {name: Zone(count) for name, count in zip(ZONES, load.standing, strict=True)}
-    memory = NeedMemory()
-    memory.note(count_lasting_through(_list_standing(zones, 0)), 0.0)
+    memory = PeakNeed()
+    memory.note(count_after_zone_loss(_list_standing(zones, 0)), 0.0)
     paid = missed = offered = 0.0
     windows: list[float] = []
     for now in range(RUN_SECONDS):
--- a/bench/division.py
+++ b/bench/division.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field, replace
 
 from swifttrestle.internal.policy.fetching import list_sources, plan_fetch
-from swifttrestle.internal.policy.home_zones import list_homes, weigh_zones
-from swifttrestle.internal.policy.placement import pick_reader
-from swifttrestle.internal.policy.waiting import IN_TIME_SHARE
+from swifttrestle.internal.policy.home_zones import count_engines_by_zone, list_home_zones
+from swifttrestle.internal.policy.placement import pick_prefill_engine
+from swifttrestle.internal.policy.waiting import PREFILL_DEADLINE_SHARE
 from swifttrestle.internal.state.declared import EngineTraits, Role, UpstreamRecord
 from swifttrestle.internal.state.fleet import Instance, OpenWork
 from swifttrestle.internal.state.prompt_cache import PromptCache, PromptPart
@@ -110,9 +110,9 @@
 
     def choose(self, prompt: Prompt, engines: Sequence[Instance], zones: Sequence[str]) -> str:
         """Return the first home of the prompt."""
-        weights = weigh_zones(engines, zones)
+        weights = count_engines_by_zone(engines, zones)
         pace = max(item.pace for item in engines)
-        return list_homes(prompt.parts, weights, pace, prompt.zone)[0]
+        return list_home_zones(prompt.parts, weights, pace, prompt.zone)[0]
 
 
 @dataclass
@@ -235,11 +235,11 @@
 
     def _pick(self, prompt: Prompt, engines: list[Instance], home: str) -> Instance | None:
         sources = list_sources(engines, prompt.parts, ())
-        latest = prompt.kind.objective * IN_TIME_SHARE
+        latest = prompt.kind.objective * PREFILL_DEADLINE_SHARE
         near = [item for item in engines if item.record.zone == home]
         far = [item for item in engines if item.record.zone != home]
         for choice, share in ((near, 1.0), (far, FAR_SHARE)):
-            reader = pick_reader(
+            reader = pick_prefill_engine(
                 choice,
                 prompt.tokens,
                 prompt.parts[-2].part,
@@ -271,7 +271,7 @@
         seconds = (prompt.tokens - had) / self._shape.pace + (fetch.seconds if fetch else 0.0)
         end = max(prompt.at, self._busy_until[reader.name]) + seconds
         self._busy_until[reader.name] = end
-        self.result.in_time += end - prompt.at <= prompt.kind.objective * IN_TIME_SHARE
+        self.result.in_time += end - prompt.at <= prompt.kind.objective * PREFILL_DEADLINE_SHARE
         reader.cache.note(prompt.parts, self._shape.traits.kv_tokens)
         kept.note(prompt.parts, self._shape.traits.kv_tokens, read=True)
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -17,11 +17,11 @@
 
 from swifttrestle.internal.policy.placement import rank
 from swifttrestle.internal.policy.rate_limits import (
-    ASKS,
-    LEAST_RATE,
-    RateBucket,
-    find_keepers,
-    find_longest_pause,
+    ASK_ATTEMPTS,
+    MIN_REQUESTS_PER_SECOND,
+    TokenBucket,
+    find_max_retry_seconds,
+    find_owners,
 )
 from swifttrestle.internal.state.members import Member
 
@@ -58,7 +58,7 @@
     up: bool = True
     known_up: bool = True
     denied_until: float = 0.0
-    bucket: RateBucket | None = None
+    bucket: TokenBucket | None = None
 
 
 @dataclass
@@ -99,7 +99,7 @@
     def take_own(self, host: Host, now: float, rate: float) -> float:
         """Take from the host's own bucket; as one starts, it may send one."""
         if host.bucket is None:
-            host.bucket = RateBucket(now - 1.0 / rate)
+            host.bucket = TokenBucket(now - 1.0 / rate)
         return host.bucket.take(rate, True, now)
 
 
@@ -145,14 +145,14 @@
     def ask(self, host: Host, now: float) -> float:
         """Ask the keepers in turn."""
         known = self.fleet.list_known()
-        for member in find_keepers(known, "upstream", "a"):
+        for member in find_owners(known, "upstream", "a"):
             keeper = self.fleet.find(member)
-            lost = LOST_SHARE**ASKS
+            lost = LOST_SHARE**ASK_ATTEMPTS
             if keeper is not host and (not keeper.up or self.fleet.rng.random() < lost):
                 continue
             if keeper.bucket is None:
-                keeper.bucket = RateBucket(now)
-            return keeper.bucket.take(self.rate, False, now, find_longest_pause(len(known)))
+                keeper.bucket = TokenBucket(now)
+            return keeper.bucket.take(self.rate, False, now, find_max_retry_seconds(len(known)))
         return VAIN_SECONDS
 
 
@@ -201,7 +201,7 @@
 
     def _lose_keeper(self, now: float) -> None:
         """End the first keeper, and some others; they start anew a while later."""
-        first = self.fleet.find(find_keepers(self.fleet.list_known(), "upstream", "a")[0])
+        first = self.fleet.find(find_owners(self.fleet.list_known(), "upstream", "a")[0])
         lost = {first.member.host: first}
         for item in self.fleet.rng.sample(self.fleet.hosts, len(self.fleet.hosts) // 8):
             lost[item.member.host] = item
@@ -242,7 +242,7 @@
     """Play one run of a way."""
     members = [Member(f"h{n}", f"10.0.0.{n}", ZONES[n % len(ZONES)]) for n in range(hosts)]
     fleet = Fleet([Host(item) for item in members], random.Random(seed))
-    return Run(fleet, way(fleet, max(rate, LEAST_RATE)), trouble).play()
+    return Run(fleet, way(fleet, max(rate, MIN_REQUESTS_PER_SECOND)), trouble).play()
 
 
 def main() -> None:
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -12,8 +12,13 @@
 
 from bench.model import ModelEngine, ModelRun, Policies, Request
 from swifttrestle.internal.policy.admission import AdmitAll, DeadlineAdmission
-from swifttrestle.internal.policy.roles import FixedRoles, ThresholdRoles, WeighedRoles
-from swifttrestle.internal.policy.routing import LeastPredicted, LeastReported, RoundRobin, Work
+from swifttrestle.internal.policy.roles import CostAwareRoles, FixedRoles, ThresholdRoles
+from swifttrestle.internal.policy.routing import (
+    LeastPredicted,
+    LeastReported,
+    RequestEstimate,
+    RoundRobin,
+)
 from swifttrestle.resources import Policy
 
 SECONDS = 120.0
@@ -77,7 +82,7 @@
     "predicted, admit all": Policies(LeastPredicted, AdmitAll, FixedRoles),
     "in use": Policies(LeastPredicted, lambda: DeadlineAdmission(0.15), FixedRoles),
     "in use, planned roles": Policies(
-        LeastPredicted, lambda: DeadlineAdmission(0.15), WeighedRoles
+        LeastPredicted, lambda: DeadlineAdmission(0.15), CostAwareRoles
     ),
 }
 IN_USE = "in use"
@@ -126,7 +131,7 @@
     base = _mix(kind.name, document)
     own = rng.getrandbits(30)
     named = [base + n for n in range(common)] + [own * 4096 + n for n in range(blocks - common)]
-    work = Work(prompt, output, kind.priority)
+    work = RequestEstimate(prompt, output, kind.priority)
     return Request(kind.name, work, kind.deadline, tuple(named), at)
 
 
--- a/bench/model.py
+++ b/bench/model.py
@@ -15,7 +15,7 @@
 from swifttrestle.internal.policy.admission import Admission, Decision
 from swifttrestle.internal.policy.retry_budget import RetryBudget
 from swifttrestle.internal.policy.roles import EngineLoad, RolePlanner
-from swifttrestle.internal.policy.routing import Candidate, Router, Work
+from swifttrestle.internal.policy.routing import Candidate, RequestEstimate, Router
 from swifttrestle.internal.protocol.engine import EngineState, Holding, LoadReport
 from swifttrestle.internal.protocol.prefixes import BLOCK_TOKENS
 from swifttrestle.internal.state.closings import ClosingTable
@@ -51,7 +51,7 @@
     """One request and what became of it; times in seconds of the model."""
 
     kind: str
-    work: Work
+    work: RequestEstimate
     deadline: float
     blocks: tuple[int, ...]
     at: float
@@ -65,7 +65,7 @@
     first_at: float = 0
     judged_at: float = 0
     target: str = ""
-    via: str = ""
+    prefill_engine: str = ""
     done_at: float | None = None
     outcome: str = ""
 
@@ -272,7 +272,7 @@
         judged = self.admission.decide(
             candidates, request.work, left, ahead, self.policy.queue_limit
         )
-        if judged.decision is Decision.GO and self._send(request, judged.roomy):
+        if judged.decision is Decision.GO and self._send(request, judged.available):
             return True
         if judged.decision is Decision.REFUSE:
             request.outcome = "shed"
@@ -282,19 +282,19 @@
             line.sort(key=lambda r: (r.work.priority != "urgent", r.at + r.deadline))
         return False
 
-    def _send(self, request: Request, roomy: tuple[Candidate, ...]) -> bool:
+    def _send(self, request: Request, available: tuple[Candidate, ...]) -> bool:
         table = self.tables[request.entry]
-        chosen = self.routers[request.entry].pick(roomy, request.work, self.rng)
+        chosen = self.routers[request.entry].pick(available, request.work, self.rng)
         if chosen is None:
             return False
         self.decisions.append(chosen.name)
         request.uncached = max(1, request.work.prompt_tokens - chosen.cached_tokens)
         request.before = request.uncached + chosen.waiting_tokens
         table.begin(chosen.name, request.uncached)
-        request.target, request.via = chosen.name, chosen.via
+        request.target, request.prefill_engine = chosen.name, chosen.prefill_engine
         request.routed_at = self.clock.time
         request.attempts += 1
-        first = chosen.via or chosen.name
+        first = chosen.prefill_engine or chosen.name
         table.prefixes.note_stored(first, request.blocks)
         self.after(HOP, lambda: self._deliver(request, first, imported=False))
         return True
@@ -354,7 +354,11 @@
         seconds, ended = engine.step(self.clock.time)
         self.after(seconds, lambda: self._step(engine))
         for request in ended:
-            if engine.role == "prefill" and request.sent == 0 and request.via == engine.name:
+            if (
+                engine.role == "prefill"
+                and request.sent == 0
+                and request.prefill_engine == engine.name
+            ):
                 move = request.work.prompt_tokens / IMPORT_RATE + HOP
                 target = request.target
                 self.after(move, lambda r=request, t=target: self._deliver(r, t, True))  # type: ignore[misc]
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -114,7 +114,7 @@
         request = self._open[engine].pop(key)
         if not request.deadly:
             self.counts.served += 1
-            self._quarantine.acquit(request.name, self._now)
+            self._quarantine.clear_crashes(request.name, self._now)
             return
         broken = [request, *self._open[engine].values()]
         self.counts.crashes += 1
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -18,7 +18,7 @@
 from swifttrestle.internal.coordination.discovery import Discovery
 from swifttrestle.internal.coordination.entries import SkippedEntries
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.listings import ListingChanges
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.platform.objects import Snapshot
@@ -118,7 +118,7 @@
         self._parts: list[Discovery] = []
         for number in range(hosts):
             relay = TellingRelay(
-                self, number // HOSTS_PER_ZONE, is_large(hosts), number % HOSTS_PER_ZONE < 2
+                self, number // HOSTS_PER_ZONE, is_large_fleet(hosts), number % HOSTS_PER_ZONE < 2
             )
             self.relays.append(relay)
             self.clients.append(DirectStore(self.stand_in, ANSWER_SECONDS))
--- a/src/swifttrestle/controller.py
+++ b/src/swifttrestle/controller.py
@@ -28,7 +28,7 @@
     Pool,
     make_http_engine,
 )
-from swifttrestle.internal.policy.roles import RolePlanner, WeighedRoles
+from swifttrestle.internal.policy.roles import CostAwareRoles, RolePlanner
 from swifttrestle.internal.process import Process, run_program, wants_help
 from swifttrestle.internal.protocol.peers import CONTROLLER, ENTRY
 from swifttrestle.internal.settings import ControllerSettings
@@ -68,7 +68,7 @@
         self,
         settings: ControllerSettings,
         make_engine: EngineMaker = make_http_engine,
-        make_planner: Callable[[], RolePlanner] = WeighedRoles,
+        make_planner: Callable[[], RolePlanner] = CostAwareRoles,
     ) -> None:
         """Prepare; `run` begins and returns at a planned stop."""
         self._settings = settings
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -24,10 +24,10 @@
 from swifttrestle.internal.coordination.quarantine_store import QuarantineStore
 from swifttrestle.internal.event_log import WRITER, log_decision
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.forward.handler import GatewayHandler
-from swifttrestle.internal.forward.rate_limiter import Permits
-from swifttrestle.internal.forward.scheduled_booking import NUMBER_BITS, SharedBooker
+from swifttrestle.internal.forward.rate_limiter import DistributedRateLimiter
+from swifttrestle.internal.forward.scheduled_booking import NUMBER_BITS, ScheduledBooker
 from swifttrestle.internal.listeners import Listeners
 from swifttrestle.internal.loop import run_in_loop
 from swifttrestle.internal.metrics import Metrics
@@ -78,7 +78,7 @@
         self._metrics = Metrics()
         self._fleet = Fleet()
         self._budgets = RetryBudgets(bounds.retry_share, bounds.retry_extra, bounds.retry_window)
-        self._parts = Parts(settings.zone, self._fleet, self._budgets, self._metrics, rng)
+        self._state = GatewayState(settings.zone, self._fleet, self._budgets, self._metrics, rng)
         self._skipped = SkippedEntries(self._count_skipped)
         self._store = ObjectStore(settings.store, ConnectionPool(SILENCE_MS))
         self._store.epochs.on_return = self._note_store_return
@@ -96,8 +96,8 @@
             incarnation,
             socket,
             self._fleet,
-            self._parts.demand,
-            self._parts.sent_prompts,
+            self._state.demand,
+            self._state.sent_prompts,
             self._configuration,
             rng,
             self._note_peers,
@@ -118,9 +118,9 @@
             self._skipped,
         )
         self._gossip.count_store_seconds = self._discovery.count_store_seconds
-        self._booker = SharedBooker(
-            LocalBooker(self._parts),
-            self._parts,
+        self._booker = ScheduledBooker(
+            LocalBooker(self._state),
+            self._state,
             socket,
             settings.host,
             self._gossip.list_members,
@@ -129,7 +129,7 @@
         self._gossip.hearers.list_schedulers = self._booker.list_schedulers
         self._quarantine = QuarantineStore(
             self._store,
-            self._parts.guard,
+            self._state.guard,
             settings.host,
             self._gossip.list_members,
             rng,
@@ -138,7 +138,7 @@
         self._crashes = QuarantineRelay(
             socket,
             settings.host,
-            self._parts.guard,
+            self._state.guard,
             self._gossip.list_members,
             rng,
             self._quarantine.note_change,
@@ -159,7 +159,7 @@
             incarnation,
             self._store,
             socket,
-            self._parts,
+            self._state,
             self._gossip,
             self._discovery,
             self._beliefs,
@@ -168,24 +168,24 @@
             self._skipped,
         )
         self._handler = GatewayHandler(
-            self._parts,
+            self._state,
             self._booker,
             lambda: self._configuration.table,
             lambda: self._configuration.belief.confirmed_at,
             bounds.revocation,
             self._duties.usage.note_run,
         )
-        self._parts.permits = permits = Permits(
-            self._parts.conditions,
+        self._state.permits = permits = DistributedRateLimiter(
+            self._state.conditions,
             socket,
             settings.host,
             self._gossip.list_members,
             rng.getrandbits(NUMBER_BITS),
         )
-        self._parts.guard.ask_trial = permits.ask_trial
-        self._parts.conditions.note_room = self._serve_queues
+        self._state.guard.request_trial = permits.request_trial
+        self._state.conditions.on_room = self._serve_queues
         self._kept_parts = KeptPartsLoader(
-            settings.zone, self._fleet, self._parts.pool, self._booker.books, rng
+            settings.zone, self._fleet, self._state.pool, self._booker.schedules_engines, rng
         )
         self._listeners = Listeners()
         # Whether this process has had the newest version of its peers in force.
@@ -195,7 +195,7 @@
         self._operators = OperatorPages(
             settings.host,
             self.is_ready,
-            self._parts,
+            self._state,
             self._configuration,
             self._gossip,
             self._discovery,
@@ -212,7 +212,7 @@
         self._start(self._gossip.run())
         self._start(self._gossip.register(self._store, self._skipped))
         self._start(self._booker.run())
-        self._start(self._parts.conditions.run())
+        self._start(self._state.conditions.run())
         self._start(self._kept_parts.run())
         self._start(self._quarantine.run())
         self._start(self._crashes.run())
@@ -248,7 +248,7 @@
 
     def is_left_out(self, name: str) -> bool:
         """Return whether an instance is left out as broken now."""
-        return self._parts.ejector.is_out(name, asyncio.get_running_loop().time())
+        return self._state.ejector.is_ejected(name, asyncio.get_running_loop().time())
 
     def count_open_work(self) -> int:
         """Return this host's open requests at all upstreams."""
@@ -268,7 +268,7 @@
 
     def count_opened_connections(self) -> int:
         """Return the connections to upstreams that were opened since the start."""
-        return self._parts.pool.opened
+        return self._state.pool.opened
 
     def stop(self) -> None:
         """Begin a planned stop."""
@@ -288,7 +288,7 @@
         log_decision("stopping", open=self._listeners.count_busy())
         self._gossip.say_leaving()
         await self._listeners.wait_for_learning(self._settings.bounds.stop / 2)
-        self._handler.ends_at = end
+        self._handler.stops_at = end
         await self._listeners.finish(end)
         seconds = round(loop.time() - began, 2)
         log_decision("stopped", cut=self._listeners.count_busy(), seconds=seconds)
@@ -374,7 +374,7 @@
         self._caught_up = self._caught_up or (known and self._gossip.has_caught_up())
         known = known and self._caught_up
         # One that may not take keys would turn all of its callers away.
-        known = known and self._beliefs.is_young()
+        known = known and self._beliefs.is_fresh()
         return known and not self._stopping.is_set()
 
 
--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from swifttrestle.internal.policy.scheduling import is_large, list_representatives
+from swifttrestle.internal.policy.scheduling import is_large_fleet, list_representatives
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.peers import NEVER, PeerTable
 
@@ -67,7 +67,7 @@
         now = self._now()
         members = self._peers.list_members(now)
         able = {member.host for member in members}
-        if is_large(len(members)):
+        if is_large_fleet(len(members)):
             zones = {member.zone for member in members}
             able = {item.host for zone in zones for item in list_representatives(members, zone)}
         order = []
--- a/src/swifttrestle/internal/coordination/capacity.py
+++ b/src/swifttrestle/internal/coordination/capacity.py
@@ -10,11 +10,11 @@
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.capacity import (
-    NeedMemory,
+    PeakNeed,
     ZonePlan,
     ZoneUpstreams,
-    choose_policy,
-    count_lasting_through,
+    choose_capacity_policy,
+    count_after_zone_loss,
     estimate_need,
 )
 from swifttrestle.internal.state.declared import Configuration, Scaling
@@ -76,7 +76,7 @@
         self._holds_duties = holds_duties
         self._is_store_away = is_store_away
         self._metrics = metrics
-        self._needs: dict[str, NeedMemory] = {}
+        self._needs: dict[str, PeakNeed] = {}
         self._sent: dict[Subject, SentOrder] = {}
         self._dry_until: dict[tuple[str, str], float] = {}
         # Services whose orders the platform refuses for what stands of the other kind.
@@ -122,7 +122,7 @@
             return
         now = _now()
         need = self._find_need(service, instances, zones, now)
-        plans = choose_policy(scaling, len(zones)).plan(scaling, zones, need)
+        plans = choose_capacity_policy(scaling, len(zones)).plan(scaling, zones, need)
         self._note_plans(service, plans, need)
         self._count_paid(service, scaling, zones)
         standing = {item.zone: item for item in zones}
@@ -146,7 +146,7 @@
             first, whole = self._find_first_need(service, zones, now)
             if not whole:
                 return first
-            memory = self._needs[service] = NeedMemory()
+            memory = self._needs[service] = PeakNeed()
             memory.note(first, now)
         return memory.note(estimate_need(instances, self._demand.total(service, now)), now)
 
@@ -163,7 +163,7 @@
         need = max((item.need for item in ordered), default=0)
         if need:
             return need, True
-        standing = sum(item.lasting for item in zones) if ordered else count_lasting_through(zones)
+        standing = sum(item.lasting for item in zones) if ordered else count_after_zone_loss(zones)
         most, since = self._listed.get(service, (0, now))
         if standing > most:
             most, since = self._listed[service] = (standing, now)
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -13,7 +13,7 @@
 from swifttrestle.internal.clock import read_seconds
 from swifttrestle.internal.coordination.entries import SkippedEntries
 from swifttrestle.internal.event_log import log_decision
-from swifttrestle.internal.policy.backoff import draw_pause
+from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.copies import ConfigurationCopy
 from swifttrestle.internal.state.config_freshness import ConfigurationBelief
 from swifttrestle.internal.state.declared import Configuration
@@ -230,4 +230,4 @@
         self._failures += 1
         if self._failures == 2:
             log_decision("store lost", by="configuration", reason=str(error))
-        await asyncio.sleep(draw_pause(self._rng, self._failures, FIRST_PAUSE, LONGEST_PAUSE))
+        await asyncio.sleep(draw_backoff(self._rng, self._failures, FIRST_PAUSE, LONGEST_PAUSE))
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -12,7 +12,7 @@
 from swifttrestle.internal.coordination.restored_entries import CopiedEntries
 from swifttrestle.internal.coordination.store_availability import StoreContact
 from swifttrestle.internal.event_log import log_decision
-from swifttrestle.internal.policy.backoff import draw_pause
+from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.listings import ListingChanges, join_changes
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
@@ -319,7 +319,7 @@
         if self._failures >= FAILURES_FOR_OUTAGE and not self._away:
             self._away = True
             log_decision("store lost", by="discovery", reason=str(error))
-        await asyncio.sleep(draw_pause(self._rng, self._failures, FIRST_PAUSE, LONGEST_PAUSE))
+        await asyncio.sleep(draw_backoff(self._rng, self._failures, FIRST_PAUSE, LONGEST_PAUSE))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -11,7 +11,7 @@
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.coordination.roles import RoleDuty
 from swifttrestle.internal.coordination.usage import UsageDuty
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.state.declared import Configuration
 from swifttrestle.internal.state.median_clock import TrueTime
 from swifttrestle.internal.state.members import Member
@@ -35,7 +35,7 @@
         incarnation: int,
         store: ObjectStore,
         socket: PeerSocket,
-        parts: Parts,
+        parts: GatewayState,
         gossip: Gossip,
         discovery: Discovery,
         beliefs: BeliefKeeper,
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -15,8 +15,8 @@
 from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
 from swifttrestle.internal.coordination.representatives import Representatives
 from swifttrestle.internal.event_log import log_decision
-from swifttrestle.internal.policy.revocation import is_young
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.revocation import is_fresh
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.freshness import (
     BeliefAnswer,
     BeliefQuestion,
@@ -93,9 +93,9 @@
         """Seconds since the version in force was proved to be the newest."""
         return _now() - self._configuration.belief.confirmed_at
 
-    def is_young(self) -> bool:
+    def is_fresh(self) -> bool:
         """Return whether callers' keys may be taken now; always where no caller needs one."""
-        return not self.has_keys() or is_young(self.age, self._bound)
+        return not self.has_keys() or is_fresh(self.age, self._bound)
 
     async def run(self) -> None:
         """Ask for as long as the process lives."""
@@ -120,7 +120,7 @@
         The word is dated, so that a version is in force here as soon as a host that reads the
         store could tell of it, and the store is asked again before the word is too old for that.
         """
-        large = is_large(len(self._list_members()))
+        large = is_large_fleet(len(self._list_members()))
         return large and self.has_keys() and not self._is_reader() and self.age < self._widen_age
 
     def _is_reader(self) -> bool:
@@ -196,7 +196,7 @@
         return table is not None and table.keys is not None
 
     def _log_change(self) -> None:
-        young = self.is_young()
+        young = self.is_fresh()
         if young is not self._was_young:
             log_decision(
                 "keys confirmed" if young else "keys not confirmed", age=round(self.age, 2)
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -183,7 +183,7 @@
 
     def _find_pause(self) -> float:
         """Return the seconds between two looks at what is to be told."""
-        if self.hearers.is_large() and not self.hearers.schedules:
+        if self.hearers.is_large_fleet() and not self.hearers.schedules:
             return LARGE_REPORT_SECONDS
         schedules = self.hearers.schedules
         hearers = self.hearers.count_schedulers() if schedules else len(self._peers.peers)
@@ -192,7 +192,7 @@
     def _beat(self, now: float) -> None:
         """Send a heartbeat: to all, or in a large fleet to those who tell the others."""
         work = self._list_work()
-        if not self.hearers.is_large():
+        if not self.hearers.is_large_fleet():
             self._note_sent(work)
             self._send(work, self._peers.peers.values(), with_known=True)
             return
@@ -208,11 +208,11 @@
         """Tell of changes between two heartbeats."""
         work = self._list_work()
         if now >= self._report_at and work != self._sent_work:
-            large = self.hearers.is_large()
+            large = self.hearers.is_large_fleet()
             self._note_sent(work)
             hearers = self.hearers.list_other_schedulers() if large else self._peers.list_seen(now)
             self._send(work, hearers)
-        if self.hearers.is_large() and self.hearers.is_representative():
+        if self.hearers.is_large_fleet() and self.hearers.is_representative():
             marks = (self._rosters.refresh_own(), *self._rosters.list_strays())
             # A version is told at once: on a thin link a copy that begins 0.4 s later finds the
             # store's own answer, eleven times as long, under way.
@@ -227,7 +227,7 @@
         over before a report of it could be used.
         """
         work = self._fleet.own_work()
-        if not self.hearers.is_large():
+        if not self.hearers.is_large_fleet():
             return work
         return {name: item for name, item in work.items() if self._fleet.is_engine(name)}
 
@@ -278,7 +278,7 @@
     def _take_prompts(self) -> tuple[SentPrompt, ...]:
         """Return prompts to tell of; in a large fleet schedulers know what they have booked."""
         waiting = self._sent_prompts
-        if self.hearers.is_large():
+        if self.hearers.is_large_fleet():
             waiting.clear()
         return tuple(waiting.popleft() for _ in range(min(MOST_PROMPTS, len(waiting))))
 
@@ -314,7 +314,7 @@
         for host, ip in report.known:
             self._peers.learn(host, ip)
         self._take_version(report.host, report.ip, report.config_version)
-        if self.hearers.is_large():
+        if self.hearers.is_large_fleet():
             self._answer_stranger(report, joined)
         self._changed()
 
--- a/src/swifttrestle/internal/coordination/listing_relay.py
+++ b/src/swifttrestle/internal/coordination/listing_relay.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Sequence
 
-from swifttrestle.internal.policy.scheduling import is_large, list_representatives
+from swifttrestle.internal.policy.scheduling import is_large_fleet, list_representatives
 from swifttrestle.internal.protocol.listings import ListingChanges, pack_changes, unpack_changes
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
@@ -37,12 +37,12 @@
 
     def watches(self) -> bool:
         """Return whether this host is to watch the list itself."""
-        return not is_large(len(self._list_members())) or self._has_duty() or self.tells()
+        return not is_large_fleet(len(self._list_members())) or self._has_duty() or self.tells()
 
     def tells(self) -> bool:
         """Return whether this host is to watch the list for others too."""
         members = self._list_members()
-        if not is_large(len(members)):
+        if not is_large_fleet(len(members)):
             return False
         return any(
             item.host == self._host for item in list_representatives(members, self._zone(members))
--- a/src/swifttrestle/internal/coordination/object_cache.py
+++ b/src/swifttrestle/internal/coordination/object_cache.py
@@ -12,7 +12,7 @@
 from swifttrestle.errors import NotFoundError, PlatformUnavailableError
 from swifttrestle.internal.clock import Clock
 from swifttrestle.internal.logs import log_change, log_fault
-from swifttrestle.internal.policy.backoff import draw_pause
+from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.platform import ObjectApi, StoredObject
 
 FIRST_PAUSE = 0.2
@@ -82,7 +82,7 @@
                     log_fault("object API lost", reason=str(error))
                 self.connected = False
             failures += 1
-            self._stopped.wait(draw_pause(self._random, failures, FIRST_PAUSE, LONGEST_PAUSE))
+            self._stopped.wait(draw_backoff(self._random, failures, FIRST_PAUSE, LONGEST_PAUSE))
 
     def _list_all(self) -> int:
         since: int | None = None
--- a/src/swifttrestle/internal/coordination/prompt_cache_loader.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -11,7 +11,7 @@
 
 from swifttrestle.errors import UpstreamError
 from swifttrestle.internal.event_log import log_decision
-from swifttrestle.internal.policy.scheduling import find_group
+from swifttrestle.internal.policy.scheduling import find_scheduling_group
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Fleet, Instance
 from swifttrestle.internal.state.prompt_cache import SentPrompt
@@ -48,14 +48,16 @@
         zone: str,
         fleet: Fleet,
         pool: ConnectionPool,
-        books: Callable[[], bool],
+        schedules_engines: Callable[[], bool],
         rng: random.Random,
     ) -> None:
-        """Ask through `pool`; `books` tells whether this host itself chooses engines."""
+        """Ask through `pool`; `schedules_engines` tells whether this host itself chooses
+        engines.
+        """
         self._zone = zone
         self._fleet = fleet
         self._pool = pool
-        self._books = books
+        self._books = schedules_engines
         self._rng = rng
 
     async def run(self) -> None:
@@ -74,7 +76,7 @@
         found: list[Instance] = []
         for service in self._fleet.list_engine_services():
             engines = self._fleet.list_service(service)
-            group = find_group(engines, self._zone)
+            group = find_scheduling_group(engines, self._zone)
             found += [item for item in engines if group in ("", item.record.zone)]
         return [item for item in found if item.role is not Role.NONE]
 
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -15,9 +15,9 @@
 
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.crash_guard import CrashGuard
-from swifttrestle.internal.policy.hash_ring import KeeperRing
+from swifttrestle.internal.policy.hash_ring import HashRing
 from swifttrestle.internal.policy.quarantine import is_quarantined
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.quarantine import (
     CASES_PER_PART,
     Acquittal,
@@ -72,10 +72,10 @@
         self._asks = ASKS
         # What is to be told again, and how often.
         self._again: list[tuple[int, Sequence[Case]]] = []
-        self._ring = KeeperRing(())
+        self._ring = HashRing(())
         self._ring_members: tuple[Member, ...] = ()
-        guard.tell_cases = self._tell_cases
-        guard.tell_acquittal = self._tell_acquittal
+        guard.announce_crash_records = self._tell_cases
+        guard.announce_clearance = self._tell_acquittal
         socket.receive(DatagramKind.CRASHES, self._receive)
 
     def ask_soon(self) -> None:
@@ -168,13 +168,13 @@
         return [item for item in self._list_members() if item.host != self._host]
 
     def _is_large(self) -> bool:
-        return is_large(len(self._list_members()))
+        return is_large_fleet(len(self._list_members()))
 
     def _find_keepers(self, name: RequestName) -> list[Member]:
         members = tuple(self._list_members())
         if members != self._ring_members:
             self._ring_members = members
-            self._ring = KeeperRing(members)
+            self._ring = HashRing(members)
         return self._ring.find(name)
 
     def _keeps(self, name: RequestName) -> bool:
@@ -188,7 +188,7 @@
         news = unpack_news(data, _now())
         for item in news.acquittals:
             self._take_acquittal(item, ip)
-        told = self._guard.take_cases(news.cases, ip)
+        told = self._guard.merge_crash_records(news.cases, ip)
         self._announce([case for case in told if self._keeps(case.name)])
         if any(is_quarantined(case) for case in told):
             self._changed()
@@ -198,7 +198,7 @@
 
     def _take_acquittal(self, item: Acquittal, ip: str) -> None:
         case = self._guard.quarantine.find(item.name)
-        if not self._guard.take_acquittal(item.name, item.at, ip):
+        if not self._guard.apply_clearance(item.name, item.at, ip):
             return
         if case is not None and is_quarantined(case):
             self._changed()
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -17,7 +17,7 @@
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.policy.placement import rank
-from swifttrestle.internal.policy.quarantine import FORGET_SECONDS
+from swifttrestle.internal.policy.quarantine import CRASH_RETENTION_SECONDS
 from swifttrestle.internal.protocol.quarantine import pack_name, read_name
 from swifttrestle.internal.state.crash_records import Case, Crash
 from swifttrestle.internal.state.members import Member
@@ -110,7 +110,7 @@
                 cases.append(_read_case(raw, _now()))
             except BadEntryError as error:
                 self._skipped.skip(QUARANTINE_KIND, known.name, error, raw)
-        self._guard.take_cases(cases, "the store")
+        self._guard.merge_crash_records(cases, "the store")
         return _count_crashes(cases)
 
     def _writes(self) -> bool:
@@ -151,7 +151,7 @@
 def _read_crash(raw: Any, now: float) -> Crash:
     age = time.time() - check_whole(raw["at"], 0, LARGEST_SIGNED) / 1000
     # A clock of the platform's hosts may be ahead of this one's.
-    return Crash(check_text(raw["start"]), now - min(max(age, 0.0), FORGET_SECONDS))
+    return Crash(check_text(raw["start"]), now - min(max(age, 0.0), CRASH_RETENTION_SECONDS))
 
 
 def _now() -> float:
--- a/src/swifttrestle/internal/coordination/recipients.py
+++ b/src/swifttrestle/internal/coordination/recipients.py
@@ -5,7 +5,7 @@
 
 from swifttrestle.internal.coordination.candidates import RoleCandidates
 from swifttrestle.internal.coordination.representatives import Representatives
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.peers import Peer, PeerTable
 
@@ -56,13 +56,13 @@
         """Return this host and the peers heard of late, with their addresses and zones."""
         return self._peers.list_members(self._now())
 
-    def is_large(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Return whether the fleet is one in which few hosts speak to all."""
-        return is_large(len(self.list_members()))
+        return is_large_fleet(len(self.list_members()))
 
     def find_schedulers(self, now: float) -> None:
         """Find the schedulers again where the members have changed."""
-        known = self.is_large(), self._peers.version
+        known = self.is_large_fleet(), self._peers.version
         if known == self._schedulers_for and now < self._schedulers_until:
             return
         self._schedulers_for = known
@@ -107,7 +107,7 @@
     def is_untold(self, now: float) -> bool:
         """Return whether no representative of this host's zone has spoken of late."""
         silent = now - self._find_told_at() >= UNTOLD_SECONDS
-        return silent and self.is_large() and not self.is_representative()
+        return silent and self.is_large_fleet() and not self.is_representative()
 
     def is_representative(self) -> bool:
         """Return whether this host represents its zone."""
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -14,7 +14,7 @@
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.ejection import Ejector
-from swifttrestle.internal.policy.role_delay import RoleDelay
+from swifttrestle.internal.policy.role_delay import RoleChangeDelay
 from swifttrestle.internal.policy.role_split import RoleChange, plan_change
 from swifttrestle.internal.state.declared import Configuration, EngineTraits, Role
 from swifttrestle.internal.state.demand import Demand, DemandMeter
@@ -95,7 +95,7 @@
         self._unreached: dict[str, float] = {}
         self._look_at = 0.0
         self._seen_returns = 0
-        self._delay = RoleDelay()
+        self._delay = RoleChangeDelay()
 
     async def run(self) -> None:
         """Look at the roles for as long as the process lives."""
@@ -201,7 +201,7 @@
         broken = [
             item.name
             for item in engines
-            if self._ejector.is_out(item.name, now) or self._unreached.get(item.name, 0.0) > now
+            if self._ejector.is_ejected(item.name, now) or self._unreached.get(item.name, 0.0) > now
         ]
         return plan_change(engines, pending, self._demand.total(service, now), broken)
 
--- a/src/swifttrestle/internal/coordination/usage.py
+++ b/src/swifttrestle/internal/coordination/usage.py
@@ -10,9 +10,9 @@
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.usage_windows import (
-    is_doubtful,
     list_due_windows,
-    list_open_reports,
+    list_unacknowledged_reports,
+    may_have_been_reported,
 )
 from swifttrestle.internal.protocol.usage import split_counts, unpack_counts
 from swifttrestle.internal.state.duties import DutyLease, RecordedUsage, UsageDraft
@@ -138,13 +138,15 @@
         if due:
             until = await self._lease.write_down(lambda held: self._add_reports(held, due))
             self._drafted_at = _now()
-        elif list_open_reports(lease.usage):
+        elif list_unacknowledged_reports(lease.usage):
             # The lease is shown to be held still, right before what it covers is sent again.
             until = await self._lease.write_down(lambda held: held)
         elif _now() - self._drafted_at >= DRAFT_SECONDS:
             self._drafted_at = _now()
             await self._lease.write_down(self._add_drafts)
-        for report in list_open_reports(self._lease.lease.usage if self._lease.lease else ()):
+        for report in list_unacknowledged_reports(
+            self._lease.lease.usage if self._lease.lease else ()
+        ):
             if _now() > until:
                 log_decision("usage not sent", window=report.window, reason="its time was over")
                 return
@@ -168,7 +170,7 @@
     def _is_doubtful(self, window: int) -> bool:
         """Return whether a window may have been reported without a word of it being left."""
         until = self._true_time.now() - _now() + self._lease.unknown_until
-        return is_doubtful(window, until, self._seconds)
+        return may_have_been_reported(window, until, self._seconds)
 
     def _add_drafts(self, lease: DutyLease) -> DutyLease:
         """Write down what is counted so far of the windows that are not reported yet."""
--- a/src/swifttrestle/internal/entry/attempts.py
+++ b/src/swifttrestle/internal/entry/attempts.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.clock import read_seconds
 from swifttrestle.internal.entry.crash_guard import EntryCrashGuard
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.routing import Candidate, Router, Work
+from swifttrestle.internal.policy.routing import Candidate, RequestEstimate, Router
 from swifttrestle.internal.protocol.calls import (
     EngineCall,
     OpenStream,
@@ -40,7 +40,7 @@
     call: EngineCall
     stream: OpenStream
     selection: Selection
-    work: Work
+    work: RequestEstimate
     began: float
 
 
@@ -74,9 +74,9 @@
         """Return an id that no other request of any process has."""
         return f"{self._prefix}.{next(self._numbers)}"
 
-    def take(self, roomy: tuple[Candidate, ...], work: Work) -> Target | None:
+    def take(self, available: tuple[Candidate, ...], work: RequestEstimate) -> Target | None:
         """Choose one of the candidates and count the request on it."""
-        left = list(roomy)
+        left = list(available)
         while left:
             with self._lock:
                 chosen = self._router.pick(left, work, self._rng)
@@ -93,7 +93,7 @@
         target: Target,
         call: EngineCall,
         selection: Selection,
-        work: Work,
+        work: RequestEstimate,
         seconds: float = FIRST_TOKEN_SECONDS,
     ) -> Attempt:
         """Call the chosen engine and wait so long for its first token, 30 s at most.
@@ -105,8 +105,10 @@
         try:
             address = self._table.address(name)
             pinned = replace(call, version=call.version or self._table.version(name))
-            if target.candidate.via:
-                pinned = replace(pinned, kv_from=self._prefill(target.candidate.via, pinned))
+            if target.candidate.prefill_engine:
+                pinned = replace(
+                    pinned, kv_from=self._prefill(target.candidate.prefill_engine, pinned)
+                )
             bound = min(FIRST_TOKEN_SECONDS, max(LEAST_WAIT_SECONDS, seconds))
             stream = open_stream(address, pinned, self._connect_seconds, bound)
         except UpstreamError as error:
@@ -119,7 +121,7 @@
             raise
         before = target.candidate.waiting_tokens + target.uncached
         self._table.note_first_token(name, before, read_seconds() - began)
-        self._table.prefixes.note_stored(target.candidate.via or name, selection.blocks)
+        self._table.prefixes.note_stored(target.candidate.prefill_engine or name, selection.blocks)
         return Attempt(name, address, pinned, stream, selection, work, read_seconds())
 
     def _prefill(self, engine: str, call: EngineCall) -> dict[str, str]:
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -83,7 +83,7 @@
         with self._lock:
             name = self._names.pop(request_id, None)
             if answered and name is not None:
-                self._quarantine.acquit(name, self._clock.now())
+                self._quarantine.clear_crashes(name, self._clock.now())
 
     def list_names(self) -> list[str]:
         """Return the quarantined requests, for the state dump."""
--- a/src/swifttrestle/internal/entry/serving.py
+++ b/src/swifttrestle/internal/entry/serving.py
@@ -23,7 +23,7 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.admission import DeadlineAdmission
 from swifttrestle.internal.policy.retry_budget import RetryBudget
-from swifttrestle.internal.policy.routing import URGENT, Work
+from swifttrestle.internal.policy.routing import URGENT, RequestEstimate
 from swifttrestle.internal.protocol.calls import EngineCall, PlainAnswer, call_plain
 from swifttrestle.internal.protocol.prefixes import count_tokens, split_blocks
 from swifttrestle.internal.state.config import ConfigStore
@@ -184,17 +184,17 @@
 
     def _describe(
         self, asked: Completion, service: Service, terms: Terms
-    ) -> tuple[Work, Selection]:
+    ) -> tuple[RequestEstimate, Selection]:
         blocks = split_blocks(asked.prompt)
         prompt_tokens = count_tokens(asked.prompt)
         limit = min(asked.max_tokens or service.max_tokens, service.max_tokens)
         return (
-            Work(prompt_tokens, limit, terms.priority),
+            RequestEstimate(prompt_tokens, limit, terms.priority),
             Selection(service, prompt_tokens, blocks),
         )
 
     def _make_call(
-        self, asked: Completion, service: Service, terms: Terms, work: Work
+        self, asked: Completion, service: Service, terms: Terms, work: RequestEstimate
     ) -> EngineCall:
         return EngineCall(
             request_id=self._attempts.make_id(),
@@ -209,7 +209,7 @@
         )
 
     def _open_first(
-        self, call: EngineCall, selection: Selection, work: Work, terms: Terms
+        self, call: EngineCall, selection: Selection, work: RequestEstimate, terms: Terms
     ) -> Attempt:
         """Wait for room and open a stream; a refusal or a loss may be tried again."""
 
@@ -224,7 +224,7 @@
         self,
         request_id: str,
         selection: Selection,
-        work: Work,
+        work: RequestEstimate,
         terms: Terms,
         attempt: Callable[[Target, int], T],
     ) -> T:
@@ -251,13 +251,15 @@
                     raise _temper(_make_final(error), lost) from None
                 self._metrics.count("retries_total", reason=error.code.name)
 
-    def _admit(self, selection: Selection, work: Work, terms: Terms, failed: list[str]) -> Target:
+    def _admit(
+        self, selection: Selection, work: RequestEstimate, terms: Terms, failed: list[str]
+    ) -> Target:
         policy = self._config.current.policy
         wanted = excluding(selection, failed)
         taken: list[Target] = []
 
-        def take(roomy: tuple) -> bool:
-            target = self._attempts.take(roomy, work)
+        def take(available: tuple) -> bool:
+            target = self._attempts.take(available, work)
             if target is not None:
                 taken.append(target)
             return target is not None
@@ -299,7 +301,7 @@
         terms = read_terms(exchange, service, workspace, started)
         request_id = self._attempts.make_id()
         selection = Selection(service)
-        work = Work(1, 1, terms.priority)
+        work = RequestEstimate(1, 1, terms.priority)
 
         def try_call(target: Target, number: int) -> PlainAnswer:
             left = max(0.05, terms.left(read_seconds()))
--- a/src/swifttrestle/internal/entry/waiting.py
+++ b/src/swifttrestle/internal/entry/waiting.py
@@ -14,7 +14,7 @@
 from swifttrestle.internal.clock import Clock
 from swifttrestle.internal.entry.requests import Terms
 from swifttrestle.internal.policy.admission import Admission, Decision
-from swifttrestle.internal.policy.routing import URGENT, Candidate, Work
+from swifttrestle.internal.policy.routing import URGENT, Candidate, RequestEstimate
 
 LOOK_AGAIN_SECONDS = 0.05
 DECIDE_AGAIN_SECONDS = 1.0
@@ -41,7 +41,7 @@
     """
 
     terms: Terms
-    work: Work
+    work: RequestEstimate
     admission: Admission
     limit: int
     find: Find
@@ -103,7 +103,7 @@
                 result = request.admission.decide(
                     candidates, request.work, left, ahead, request.limit
                 )
-                if result.decision is Decision.GO and request.take(result.roomy):
+                if result.decision is Decision.GO and request.take(result.available):
                     return
                 if result.decision is Decision.REFUSE:
                     _refuse(candidates, ahead, request.limit, result.retry_after)
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from swifttrestle.internal.forward.finding import EngineFinder
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.forward.turns import TurnPredictor
 from swifttrestle.internal.policy.queueing import AdmissionQueue
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom, Outcome, Stage
@@ -37,9 +37,9 @@
 class LocalBooker(Booker):
     """Books by this host's own knowledge of open work."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: GatewayState) -> None:
         """Use the host's shared parts."""
-        self._parts = parts
+        self._state = parts
         self._finder = EngineFinder(parts)
         self._turns = TurnPredictor(parts)
         # Short prompts wait for a decoding engine only, and so not behind long ones.
@@ -107,7 +107,7 @@
         """Take an engine's work off, and learn its speed from a prompt that it has read."""
         if stage is Stage.READ:
             if outcome is Outcome.DONE:
-                self._parts.note_prompt(booking.reader, booking.parts, read=True)
+                self._state.note_prompt(booking.reader, booking.parts, read=True)
                 if not booking.direct:
                     booking.reader.learn(booking.ahead, seconds - booking.fetch_seconds)
             else:
@@ -116,7 +116,7 @@
         else:
             if outcome is Outcome.DONE and not booking.direct:
                 # It has fetched what the reader read, and keeps that like its own.
-                self._parts.note_prompt(booking.decoder, booking.parts, read=True)
+                self._state.note_prompt(booking.decoder, booking.parts, read=True)
             self._release(booking.decoder, OpenWork(0, 1))
 
     def release(self, booking: Booking) -> None:
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -28,7 +28,7 @@
 EXPIRE_SECONDS = 30.0
 
 
-class Conditions:
+class UpstreamConditionTable:
     """The conditions of all starts that this host has heard of; used from the event loop alone."""
 
     def __init__(self, fleet: Fleet, metrics: Metrics) -> None:
@@ -38,15 +38,15 @@
         self._conditions: dict[str, Condition] = defaultdict(Condition)
         fleet.says_leaving = self.is_leaving
         # Called with a start whose limit this host has heard to be another one.
-        self.tell_limit: Callable[[str, RateWord], None] = ignore
+        self.announce_limit: Callable[[str, RateWord], None] = ignore
         # Called with a start that has told this host that it leaves.
-        self.tell_leaving: Callable[[str], None] = ignore
+        self.announce_leaving: Callable[[str], None] = ignore
         # Called when an upstream that was held back may take work again.
-        self.note_room: Callable[[], None] = ignore
+        self.on_room: Callable[[], None] = ignore
 
     # Asking.
 
-    def find_rate(self, start: str) -> RateWord:
+    def find_rate_limit(self, start: str) -> RateWord:
         """Return the newest word on a start's limit."""
         known = self._conditions.get(start)
         return known.word if known else RateWord()
@@ -72,7 +72,7 @@
 
     # Hearing.
 
-    def hear(self, start: str, head: AnswerHead, sent_at: float) -> None:
+    def record_answer(self, start: str, head: AnswerHead, sent_at: float) -> None:
         """Take over what an answer says; its request was sent at the loop's time `sent_at`."""
         instance = self._fleet.instances.get(start)
         if instance is not None and not is_of_instance(
@@ -85,11 +85,11 @@
             self._note_odd(start, said.odd)
         self._hear_rate(start, said, head, sent_at)
         if said.leaving and self.take_leaving(start, OWN):
-            self.tell_leaving(start)
+            self.announce_leaving(start)
         if said.rest != 0.0:
             self._hear_rest(start, said.rest)
         elif start in self._conditions and self._conditions[start].note_taken(sent_at):
-            self.note_room()
+            self.on_room()
 
     def is_leaving(self, start: str) -> bool:
         """Return whether a start has said that it leaves; it does not take that back."""
@@ -105,7 +105,7 @@
         log_decision("upstream says that it leaves", instance=start, source=source)
         return True
 
-    def take_rate(self, start: str, word: RateWord, source: str) -> bool:
+    def apply_rate_limit(self, start: str, word: RateWord, source: str) -> bool:
         """Take over a word on a start's limit if it is newer; return whether it says otherwise."""
         known = self._conditions.get(start)
         before = known.word if known else RateWord()
@@ -117,7 +117,7 @@
             return False
         condition.lift_denials()
         log_decision("upstream limit", instance=start, rate=word.rate, source=source)
-        self.note_room()
+        self.on_room()
         return True
 
     def deny(self, start: str, seconds: float, urgent: bool) -> None:
@@ -125,7 +125,7 @@
         now = _now()
         self._conditions[start].deny(now + seconds, urgent)
         self._metrics.count("upstream_limit_denials_total")
-        asyncio.get_running_loop().call_at(now + seconds, self.note_room)
+        asyncio.get_running_loop().call_at(now + seconds, self.on_room)
 
     def note_sent(self, instance: Instance) -> None:
         """Count a request that goes to an upstream, by the condition that it is in."""
@@ -168,12 +168,12 @@
                     del self._conditions[start]
 
     def _hear_rate(self, start: str, said: Backpressure, head: AnswerHead, sent_at: float) -> None:
-        word = self.find_rate(start)
+        word = self.find_rate_limit(start)
         if said.rate is None and not _ends_limit(word, head, sent_at):
             return
         heard = RateWord(said.rate, _now())
-        if self.take_rate(start, heard, OWN):
-            self.tell_limit(start, heard)
+        if self.apply_rate_limit(start, heard, OWN):
+            self.announce_limit(start, heard)
 
     def _note_odd(self, start: str, words: tuple[str, ...]) -> None:
         """Tell of words that cannot be read, once for each: they may stand in every answer."""
@@ -192,7 +192,7 @@
         rest = UNKNOWN_REST_SECONDS if seconds is None else min(seconds, LONGEST_REST_SECONDS)
         # Each request that it refuses in that time costs its service a repeat.
         condition.rest(now + rest)
-        asyncio.get_running_loop().call_at(condition.rest_until, self.note_room)
+        asyncio.get_running_loop().call_at(condition.rest_until, self.on_room)
 
 
 def _differs(rate: float | None, other: float | None) -> bool:
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -41,10 +41,10 @@
         # among some that have crashed.
         self.is_last: Callable[[Instance, Collection[str]], bool] = _never
         # Asks whether a quarantined request may be tried now; returns 0, or the seconds to wait.
-        self.ask_trial: Callable[[RequestName], Awaitable[float]] = _allow_trial
+        self.request_trial: Callable[[RequestName], Awaitable[float]] = _allow_trial
         # Called with what this host found out: peers need it before the next attempt.
-        self.tell_cases: Teller = ignore
-        self.tell_acquittal: AcquittalTeller = ignore
+        self.announce_crash_records: Teller = ignore
+        self.announce_clearance: AcquittalTeller = ignore
 
     async def check(self, ctx: Context) -> RequestName | None:
         """Return a request's name if something is held against it.
@@ -88,7 +88,7 @@
         if self._is_tried(name, ctx):
             return TRIED_RETRY_SECONDS
         if not ctx.on_trial:
-            seconds = await self.ask_trial(name)
+            seconds = await self.request_trial(name)
             if seconds > 0:
                 # Whoever tries it now has told all hosts by then whether it may go.
                 return min(seconds, TRIED_RETRY_SECONDS)
@@ -126,26 +126,26 @@
         if acquits:
             await self._note_answered(ctx)
 
-    def acquit(self, name: RequestName, source: str = "its answer") -> None:
+    def clear_crashes(self, name: RequestName, source: str = "its answer") -> None:
         """Take over that a request got its own answer here, and tell others of it."""
         case = self.quarantine.find(name)
         now = _now()
-        if case is not None and self.take_acquittal(name, now, source):
-            self.tell_acquittal(name, now, is_quarantined(case))
+        if case is not None and self.apply_clearance(name, now, source):
+            self.announce_clearance(name, now, is_quarantined(case))
 
-    def take_crash(self, names: Sequence[RequestName], crash: Crash) -> None:
+    def report_crash(self, names: Sequence[RequestName], crash: Crash) -> None:
         """Take over a crash that this host saw, and tell others of it."""
         news = [name for name in names if self._note(name, (crash,), "own")]
-        self.tell_cases(self._find_all(news))
+        self.announce_crash_records(self._find_all(news))
 
-    def take_cases(self, cases: Sequence[Case], source: str) -> list[Case]:
+    def merge_crash_records(self, cases: Sequence[Case], source: str) -> list[Case]:
         """Take over what is known elsewhere; return what is known now where that was news."""
         news = [case.name for case in cases if self._note(case.name, case.crashes, source)]
         return self._find_all(news)
 
-    def take_acquittal(self, name: RequestName, at: float, source: str) -> bool:
+    def apply_clearance(self, name: RequestName, at: float, source: str) -> bool:
         """Take over that a request got its own answer; return whether that was news."""
-        if not self.quarantine.acquit(name, at):
+        if not self.quarantine.clear_crashes(name, at):
             return False
         log_decision("request acquitted", name=str(name), source=source)
         return True
@@ -168,11 +168,11 @@
         # Whatever was heard of it while it ran counts as well.
         name = await self._find_known(ctx) if ctx.request.body.complete else None
         if name is not None:
-            self.acquit(name)
+            self.clear_crashes(name)
 
     def _note_crash(self, instance: Instance, names: Sequence[RequestName]) -> None:
         self._metrics.count("upstream_crashes_total", service=instance.record.service)
-        self.take_crash(names, Crash(instance.name, _now()))
+        self.report_crash(names, Crash(instance.name, _now()))
 
     def _note(self, name: RequestName, crashes: Sequence[Crash], source: str) -> bool:
         now = _now()
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -16,7 +16,7 @@
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.events import EventRelay
 from swifttrestle.internal.forward.finding import LATE_WAIT_SHARE, reads_soon
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.forward.reading import (
     DirectReading,
     PromptReader,
@@ -25,8 +25,8 @@
 )
 from swifttrestle.internal.policy.placement import pick_decoder
 from swifttrestle.internal.policy.waiting import (
-    IN_TIME_SHARE,
     LATE_SHARE,
+    PREFILL_DEADLINE_SHARE,
     WAIT_SHARE,
     find_patience,
 )
@@ -59,9 +59,9 @@
 class EngineForwarder:
     """Serves the requests of all model services."""
 
-    def __init__(self, parts: Parts, booker: Booker) -> None:
+    def __init__(self, parts: GatewayState, booker: Booker) -> None:
         """Use the host's shared parts, and engines that `booker` finds."""
-        self._parts = parts
+        self._state = parts
         self._booker = booker
         self._reader = PromptReader(parts, booker)
 
@@ -93,20 +93,20 @@
     async def _read(self, ctx: Context, booking: Booking) -> KvHandle | None:
         """Have the prompt read where another engine does so; raise UpstreamHeldError."""
         if booking.direct:
-            await self._parts.permits.reserve(ctx, booking.decoder)
+            await self._state.permits.reserve(ctx, booking.decoder)
             return None
         return await self._reader.read(ctx, booking)
 
     # Booking.
 
     async def _book(self, ctx: Context, first: bool) -> Booking:
-        latest_read = ctx.route.objective * IN_TIME_SHARE - ctx.age
+        latest_read = ctx.route.objective * PREFILL_DEADLINE_SHARE - ctx.age
         longest = ctx.route.objective * WAIT_SHARE - ctx.age
         if not first:
             longest = ctx.left * LATE_WAIT_SHARE
         request = BookingRequest(
             service=ctx.service.name,
-            zone=self._parts.zone,
+            zone=self._state.zone,
             tokens=ctx.facts.prompt_tokens,
             affinity=find_affinity(ctx),
             priority=ctx.priority,
@@ -124,9 +124,9 @@
         found = await self._booker.book(request)
         if isinstance(found, NoRoom):
             raise self._refuse_for_load(ctx, found)
-        self._parts.metrics.observe("gateway_queue_seconds", ctx.age)
+        self._state.metrics.observe("gateway_queue_seconds", ctx.age)
         if not found.direct:
-            self._parts.demand.note_read(ctx.service.name, request.tokens, found.tokens)
+            self._state.demand.note_read(ctx.service.name, request.tokens, found.tokens)
         ctx.note(
             f"reader {found.reader.name} wait={found.wait * 1000:.0f}ms unread={found.tokens} "
             f"from {found.source.name if found.source else 'none'} "
@@ -145,20 +145,20 @@
     def _find_hold(self, ctx: Context) -> float:
         """Return the seconds until engines of each role that it needs take a request."""
         service, now = ctx.service.name, asyncio.get_running_loop().time()
-        engines = self._parts.fleet.list_service(service)
+        engines = self._state.fleet.list_service(service)
         short = reads_soon(ctx.facts.prompt_tokens, engines)
         roles = (Role.DECODE,) if short else (Role.DECODE, Role.PREFILL)
-        return self._parts.find_hold(service, now, roles, ctx.urgent)
+        return self._state.find_hold(service, now, roles, ctx.urgent)
 
     def _note_arrival(self, ctx: Context, now: float) -> None:
-        self._parts.budgets.find(ctx.service.name).note_request(now)
-        engines = self._parts.fleet.list_service(ctx.service.name)
+        self._state.budgets.find(ctx.service.name).note_request(now)
+        engines = self._state.fleet.list_service(ctx.service.name)
         tokens = ctx.facts.prompt_tokens
         tokens = 0 if reads_soon(tokens, engines) else tokens
-        self._parts.demand.note_arrival(ctx.service.name, ctx.route.name, tokens, now)
+        self._state.demand.note_arrival(ctx.service.name, ctx.route.name, tokens, now)
 
     def _refuse_for_load(self, ctx: Context, found: NoRoom) -> RefusedError:
-        engines = self._parts.fleet.list_service(ctx.service.name)
+        engines = self._state.fleet.list_service(ctx.service.name)
         if not engines:
             return ctx.refuse(Code.NO_UPSTREAM, "no engine is listed", NO_ENGINE_RETRY_AFTER)
         hold = self._find_hold(ctx)
@@ -176,7 +176,7 @@
         comes back the better it fares. Those that are refused together come back apart.
         """
         longest = min(HONOURED_SHARE * ctx.left, MOST_RETRY_AFTER)
-        spread = SOONEST_RETURN + (1 - SOONEST_RETURN) * self._parts.rng.random()
+        spread = SOONEST_RETURN + (1 - SOONEST_RETURN) * self._state.rng.random()
         return max(LEAST_RETRY_AFTER, soonest, longest * spread)
 
     # The tokens.
@@ -210,7 +210,7 @@
                     decoder = self._pick_decoder(ctx, str(error), _now())
                     continue
                 except (UpstreamLeavingError, UpstreamBusyError, UpstreamBrokenError) as error:
-                    outcome = self._parts.note_failed_use(ctx, decoder, error)
+                    outcome = self._state.note_failed_use(ctx, decoder, error)
                     if decoder is booking.decoder:
                         use.outcome = outcome
                     reason = str(error)
@@ -242,10 +242,10 @@
 
     def _pick_decoder(self, ctx: Context, reason: str, now: float) -> Instance:
         """Return an engine to make the tokens; raise RefusedError where there is none."""
-        engines = self._parts.list_usable(ctx.service.name, now, ctx.urgent)
-        decoder = pick_decoder(engines, self._parts.zone, ctx.excluded, now, urgent=ctx.urgent)
+        engines = self._state.list_usable(ctx.service.name, now, ctx.urgent)
+        decoder = pick_decoder(engines, self._state.zone, ctx.excluded, now, urgent=ctx.urgent)
         if decoder is None:
-            hold = self._parts.find_hold(ctx.service.name, now, (Role.DECODE,), ctx.urgent)
+            hold = self._state.find_hold(ctx.service.name, now, (Role.DECODE,), ctx.urgent)
             code = Code.UPSTREAMS_HELD if hold else Code.UPSTREAM_REFUSED
             raise ctx.refuse(code, reason, max(LEAST_RETRY_AFTER, hold))
         return decoder
@@ -258,7 +258,7 @@
         if not allowed:
             raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, LEAST_RETRY_AFTER)
         decoder = self._pick_decoder(ctx, reason, now)
-        if not self._parts.budgets.find(ctx.service.name).take(now):
+        if not self._state.budgets.find(ctx.service.name).take(now):
             raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, LEAST_RETRY_AFTER)
         ctx.note(f"decoder {decoder.name} after event {relay.last_event!r}")
         return decoder
@@ -284,11 +284,11 @@
         )
         began = asyncio.get_running_loop().time()
         plan = AttemptPlan(decoder, added, patience)
-        async with self._parts.attempt(ctx, decoder):
-            await make_attempt(ctx, self._parts.pool, plan, relay)
+        async with self._state.attempt(ctx, decoder):
+            await make_attempt(ctx, self._state.pool, plan, relay)
         now = asyncio.get_running_loop().time()
-        self._parts.demand.note_hold(ctx.route.name, now - began)
-        self._parts.ejector.note_success(decoder.name, now)
+        self._state.demand.note_hold(ctx.route.name, now - began)
+        self._state.ejector.note_success(decoder.name, now)
 
     def _longest_pause(self, ctx: Context) -> float:
         # Callers give a stream up after two seconds or four objectives; half of that leaves
--- a/src/swifttrestle/internal/forward/finding.py
+++ b/src/swifttrestle/internal/forward/finding.py
@@ -3,10 +3,10 @@
 import asyncio
 from dataclasses import replace
 
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.policy.fetching import FetchPlan, list_sources, plan_fetch
-from swifttrestle.internal.policy.placement import pick_decoder, pick_reader
-from swifttrestle.internal.policy.scheduling import find_group
+from swifttrestle.internal.policy.placement import pick_decoder, pick_prefill_engine
+from swifttrestle.internal.policy.scheduling import find_scheduling_group
 from swifttrestle.internal.state.bookings import Booking, BookingRequest
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance, OpenWork
@@ -25,14 +25,14 @@
 class EngineFinder:
     """Chooses among the engines that a host knows."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: GatewayState) -> None:
         """Use the host's shared parts."""
-        self._parts = parts
+        self._state = parts
 
     def find(self, request: BookingRequest, waited: float = 0.0) -> Booking | None:
         """Return engines with room, booked, or None; the request has waited for so long."""
         now = _now()
-        engines = self._parts.list_usable(request.service, now, request.urgent)
+        engines = self._state.list_usable(request.service, now, request.urgent)
         decoder = self._pick_decoder(request, engines, request.zone)
         if decoder is None:
             return None
@@ -61,8 +61,8 @@
         """
         held = (
             item
-            for item in self._parts.fleet.list_service(service)
-            if self._parts.conditions.find_hold(item, now, urgent=True)
+            for item in self._state.fleet.list_service(service)
+            if self._state.conditions.find_hold(item, now, urgent=True)
         )
         return any(item.role is Role.PREFILL for item in (*engines, *held))
 
@@ -74,11 +74,11 @@
         plan: FetchPlan,
     ) -> Instance | None:
         """Return a reader of the request's group, or one of another where that is at rest."""
-        group = find_group(engines, request.zone)
+        group = find_scheduling_group(engines, request.zone)
         near = [item for item in engines if group in ("", item.record.zone)]
         far = [item for item in engines if group not in ("", item.record.zone)]
         for choice, limit in ((near, longest), (far, longest * FAR_WAIT_SHARE)):
-            reader = pick_reader(
+            reader = pick_prefill_engine(
                 choice,
                 request.tokens,
                 request.affinity,
@@ -95,7 +95,7 @@
 
     def is_short(self, request: BookingRequest) -> bool:
         """Return whether a decoding engine reads the prompt itself as soon as another would."""
-        return reads_soon(request.tokens, self._parts.fleet.list_service(request.service))
+        return reads_soon(request.tokens, self._state.fleet.list_service(request.service))
 
     def _pick_decoder(
         self, request: BookingRequest, engines: list[Instance], near: str
@@ -110,9 +110,9 @@
         fetch = plan(reader, kept)
         tokens = max(0, request.tokens - kept - (fetch.tokens if fetch else 0))
         unread = reader.cache.list_unread(request.parts)
-        self._parts.note_prompt(reader, request.parts)
+        self._state.note_prompt(reader, request.parts)
         for engine in (reader, decoder):
-            self._parts.ejector.note_use(engine.name, _now())
+            self._state.ejector.note_use(engine.name, _now())
         decoder.own = decoder.own.plus(OpenWork(0, 1))
         reader.own = reader.own.plus(OpenWork(tokens, 0 if reader is decoder else 1))
         return Booking(
@@ -130,7 +130,7 @@
     def _find_plan(self, request: BookingRequest, engines: list[Instance]) -> FetchPlan:
         """Return how any of the engines would fetch what others have read of the prompt."""
         sources = list_sources(engines, request.parts, request.excluded)
-        traits = self._parts.fleet.traits.get(request.service)
+        traits = self._state.fleet.traits.get(request.service)
         return lambda reader, kept: plan_fetch(reader, kept, sources, traits)
 
 
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -15,7 +15,7 @@
     UpstreamUnreachedError,
 )
 from swifttrestle.internal.event_log import log_decision
-from swifttrestle.internal.forward.conditions import Conditions
+from swifttrestle.internal.forward.conditions import UpstreamConditionTable
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.forward.rate_limiter import NoLimits, PermitSource
@@ -73,7 +73,7 @@
         return budget
 
 
-class Parts:
+class GatewayState:
     """The shared state of one host's request path; used from the event loop alone."""
 
     def __init__(
@@ -93,8 +93,8 @@
         self.guard = CrashGuard(self.pool, Quarantine(rng.random()), metrics)
         self.crashes = self.guard.watch
         self.guard.is_last = self._is_last
-        self.conditions = Conditions(fleet, metrics)
-        self.pool.on_answer = self.conditions.hear
+        self.conditions = UpstreamConditionTable(fleet, metrics)
+        self.pool.on_answer = self.conditions.record_answer
         self.permits: PermitSource = NoLimits()
         fleet.on_replaced = self._end_start
         fleet.on_removed = self.crashes.note_withdrawn
@@ -125,7 +125,7 @@
             for item in self.fleet.list_service(service)
             if not self.conditions.find_hold(item, now, urgent)
         ]
-        usable = [item for item in listed if not self.ejector.is_out(item.name, now)]
+        usable = [item for item in listed if not self.ejector.is_ejected(item.name, now)]
         return usable or listed
 
     def _is_last(self, instance: Instance, crashed: Collection[str]) -> bool:
@@ -140,7 +140,7 @@
             and item.name not in crashed
             and item.role is instance.role
             and now >= item.role_changing_until
-            and not self.ejector.is_out(item.name, now)
+            and not self.ejector.is_ejected(item.name, now)
             for item in listed
         )
 
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -11,12 +11,12 @@
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.engines import EngineForwarder
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.forward.plain import PlainForwarder
 from swifttrestle.internal.policy.revocation import (
     CONFIRM_RETRY_SECONDS,
     Verdict,
-    judge_key,
+    check_key,
 )
 from swifttrestle.internal.state.declared import Limits, Route, Workspace
 from swifttrestle.internal.state.routes import RouteTable, pick_service
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: GatewayState,
         booker: Booker,
         find_table: Callable[[], RouteTable | None],
         find_confirmed_at: Callable[[], float] = lambda: float("-inf"),
@@ -60,7 +60,7 @@
         `revocation_bound` for how many seconds after its removal a key may be served. `note_run`
         is called with the workspace of each request that begins to run.
         """
-        self._parts = parts
+        self._state = parts
         self._find_table = find_table
         self._find_confirmed_at = find_confirmed_at
         self._revocation_bound = revocation_bound
@@ -68,7 +68,7 @@
         self._plain = PlainForwarder(parts)
         self._engines = EngineForwarder(parts, booker)
         # The loop's time at which this process ends, once a planned stop has come so far.
-        self.ends_at: float | None = None
+        self.stops_at: float | None = None
 
     def limits(self) -> Limits:
         """Return the limits in force."""
@@ -109,7 +109,7 @@
         self._check_time_to_end(route, request.received)
         workspace = self._find_workspace(table, route, request)
         facts = read_facts(request.head.headers)
-        service = table.configuration.services.get(pick_service(route, self._parts.rng))
+        service = table.configuration.services.get(pick_service(route, self._state.rng))
         if service is None:
             raise RefusedError(Code.UNKNOWN_SERVICE, f"route {route.name} has no service")
         seconds = route.timeout if facts.patience is None else min(facts.patience, route.timeout)
@@ -144,11 +144,11 @@
         # Two keys would leave open whose request it is.
         workspace = table.keys.find(keys[0]) if len(keys) == 1 else None
         age = request.received - self._find_confirmed_at()
-        self._parts.metrics.observe("gateway_key_belief_seconds", max(0.0, age))
-        verdict = judge_key(workspace is not None, age, self._revocation_bound)
+        self._state.metrics.observe("gateway_key_belief_seconds", max(0.0, age))
+        verdict = check_key(workspace is not None, age, self._revocation_bound)
         if verdict is Verdict.ALLOWED:
             return workspace
-        self._parts.metrics.count("gateway_keys_refused_total", reason=verdict.value)
+        self._state.metrics.count("gateway_keys_refused_total", reason=verdict.value)
         if verdict is Verdict.UNKNOWN:
             raise RefusedError(Code.UNKNOWN_KEY, "the key belongs to no workspace")
         raise RefusedError(
@@ -169,7 +169,7 @@
 
     def _check_time_to_end(self, route: Route, now: float) -> None:
         """Refuse what may outlast this process: another host can answer it whole."""
-        if self.ends_at is not None and now + route.timeout > self.ends_at:
+        if self.stops_at is not None and now + route.timeout > self.stops_at:
             raise RefusedError(Code.STOPPING, "this host is stopping", STOPPING_RETRY_SECONDS)
 
     def _find_route(self, table: RouteTable, head: RequestHead) -> Route:
@@ -184,12 +184,12 @@
         forwarder = self._engines if ctx.service.engine else self._plain
         try:
             async with asyncio.timeout(max(0.0, ctx.left - ANSWER_MARGIN_SECONDS)):
-                await self._parts.guard.check(ctx)
+                await self._state.guard.check(ctx)
                 await forwarder.serve(ctx)
         except TimeoutError:
             ctx.note("deadline")
             if ctx.open_to_the_end is not None:
-                self._parts.crashes.note_silent(ctx.open_to_the_end, ctx.name)
+                self._state.crashes.note_silent(ctx.open_to_the_end, ctx.name)
             if ctx.may_have_run:
                 raise RefusedError(Code.ANSWER_LATE, "the time is over") from None
             raise ctx.refuse(Code.DEADLINE_PASSED, "the time is over", 0.1) from None
@@ -215,7 +215,7 @@
         now = asyncio.get_running_loop().time()
         route = ctx.route.name if ctx else ""
         kind = ("stream" if ctx.route.streaming else "plain") if ctx else "none"
-        metrics = self._parts.metrics
+        metrics = self._state.metrics
         metrics.count("gateway_requests_total", route=route, code=code.name)
         metrics.observe(
             "gateway_request_seconds", now - request.received, kind=kind, code=code.name
@@ -228,7 +228,7 @@
             route=route,
             workspace=ctx.workspace.name if ctx and ctx.workspace else "",
             config=ctx.config_version if ctx else 0,
-            list_age=round(min(now - self._parts.fleet.confirmed_at, LONGEST_AGE), 1),
+            list_age=round(min(now - self._state.fleet.confirmed_at, LONGEST_AGE), 1),
             code=code.name,
             outcome=outcome,
             tokens=[ctx.facts.prompt_tokens, ctx.facts.output_tokens] if ctx else None,
--- a/src/swifttrestle/internal/forward/plain.py
+++ b/src/swifttrestle/internal/forward/plain.py
@@ -14,7 +14,7 @@
 from swifttrestle.internal.forward.attempt import AttemptPlan, make_attempt
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.events import EventRelay
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.policy.placement import pick_plain
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance, OpenWork
@@ -33,14 +33,14 @@
 class PlainForwarder:
     """Chooses an instance, and another one where the first proved not to have run."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: GatewayState) -> None:
         """Use the host's shared parts."""
-        self._parts = parts
+        self._state = parts
 
     async def serve(self, ctx: Context) -> None:
         """Serve one request; raise RefusedError where it is given up on."""
         loop = asyncio.get_running_loop()
-        budget = self._parts.budgets.find(ctx.service.name)
+        budget = self._state.budgets.find(ctx.service.name)
         budget.note_request(loop.time())
         last = "there is no instance"
         paid = False
@@ -59,10 +59,10 @@
                 ctx.note(last)
                 continue
             except UpstreamLeavingError as error:
-                self._parts.note_gone(instance)
+                self._state.note_gone(instance)
                 last = str(error)
             except UpstreamBusyError as error:
-                self._parts.note_refusal(instance, loop.time())
+                self._state.note_refusal(instance, loop.time())
                 last = str(error)
             except UpstreamBrokenError as error:
                 last = str(error)
@@ -73,15 +73,15 @@
 
     def _refuse(self, ctx: Context, reason: str, now: float) -> RefusedError:
         """Return the final answer where no instance may be tried."""
-        hold = self._parts.find_hold(ctx.service.name, now, (Role.NONE,), ctx.urgent)
+        hold = self._state.find_hold(ctx.service.name, now, (Role.NONE,), ctx.urgent)
         if hold:
             reason = "each instance takes nothing now by its own word"
             return ctx.refuse(Code.UPSTREAMS_HELD, reason, hold)
         return ctx.refuse(Code.NO_UPSTREAM, reason, RETRY_AFTER_SECONDS)
 
     def _choose(self, ctx: Context, now: float) -> Instance | None:
-        usable = self._parts.list_usable(ctx.service.name, now, ctx.urgent)
-        return pick_plain(usable, self._parts.zone, ctx.excluded, now, self._parts.rng)
+        usable = self._state.list_usable(ctx.service.name, now, ctx.urgent)
+        return pick_plain(usable, self._state.zone, ctx.excluded, now, self._state.rng)
 
     def _may_try(self, ctx: Context, now: float) -> bool:
         if ctx.arrivals == 0:
@@ -92,24 +92,24 @@
             return False
         if ctx.arrivals - ctx.runs >= MOST_REJECTIONS or ctx.reply.started:
             return False
-        return self._parts.budgets.find(ctx.service.name).take(now)
+        return self._state.budgets.find(ctx.service.name).take(now)
 
     async def _try(self, ctx: Context, instance: Instance) -> None:
         last = ctx.runs + 1 >= ctx.route.max_attempts or not ctx.repeatable
         patience = ctx.left if last else ctx.left * FIRST_ATTEMPT_SHARE
         now = asyncio.get_running_loop().time()
-        again = not last and self._parts.budgets.find(ctx.service.name).allows(now)
+        again = not last and self._state.budgets.find(ctx.service.name).allows(now)
         plan = AttemptPlan(
             instance, Forwarding(instance.record.instance, ctx.left), patience, retry_failure=again
         )
         relay = EventRelay(ctx.route.resumable, patience) if ctx.route.streaming else None
         instance.own = instance.own.plus(ONE)
-        self._parts.ejector.note_use(instance.name, now)
+        self._state.ejector.note_use(instance.name, now)
         try:
-            async with self._parts.attempt(ctx, instance):
+            async with self._state.attempt(ctx, instance):
                 ctx.arrivals += 1
-                await make_attempt(ctx, self._parts.pool, plan, relay)
-            self._parts.ejector.note_success(instance.name, asyncio.get_running_loop().time())
+                await make_attempt(ctx, self._state.pool, plan, relay)
+            self._state.ejector.note_success(instance.name, asyncio.get_running_loop().time())
         finally:
             instance.own = instance.own.minus(ONE)
 
@@ -118,4 +118,4 @@
             ctx.runs += 1
         if not isinstance(error, FailedByUpstreamError):
             now = asyncio.get_running_loop().time()
-            self._parts.note_broken(ctx, instance, now, error)
+            self._state.note_broken(ctx, instance, now, error)
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -12,16 +12,16 @@
 
 from swifttrestle.errors import UpstreamHeldError
 from swifttrestle.internal.event_log import log_decision
-from swifttrestle.internal.forward.conditions import Conditions
+from swifttrestle.internal.forward.conditions import UpstreamConditionTable
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.policy.rate_limits import (
-    ASKS,
-    LEAST_RATE,
-    RateBucket,
-    find_keepers,
-    find_longest_pause,
+    ASK_ATTEMPTS,
+    MIN_REQUESTS_PER_SECOND,
+    TokenBucket,
+    find_max_retry_seconds,
+    find_owners,
 )
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.permits import (
     Answer,
     Ask,
@@ -82,12 +82,12 @@
         """Let the request go."""
 
 
-class Permits(PermitSource):
+class DistributedRateLimiter(PermitSource):
     """This host's part in the counting, as one who asks and as one who counts."""
 
     def __init__(
         self,
-        conditions: Conditions,
+        conditions: UpstreamConditionTable,
         socket: PeerSocket,
         host: str,
         list_members: Callable[[], Sequence[Member]],
@@ -109,12 +109,12 @@
         self._keepers: dict[tuple[str, str], list[Member]] = {}
         self._members: Sequence[Member] = ()
         # What this host counts for all, and what it keeps to where it reaches no other.
-        self._kept: dict[str, RateBucket] = {}
-        self._own: dict[str, RateBucket] = {}
+        self._kept: dict[str, TokenBucket] = {}
+        self._own: dict[str, TokenBucket] = {}
         # When this host, as a keeper, let quarantined requests be tried, by their names.
         self._tried_at: dict[str, float] = {}
-        conditions.tell_limit = self._tell_limit
-        conditions.tell_leaving = self._tell_leaving
+        conditions.announce_limit = self._tell_limit
+        conditions.announce_leaving = self._tell_leaving
         socket.receive(DatagramKind.PERMIT, self._receive)
 
     async def reserve(self, ctx: Context, *instances: Instance) -> None:
@@ -125,7 +125,7 @@
         for instance in instances:
             self._conditions.check(instance, ctx.urgent)
         for instance in instances:
-            if self._conditions.find_rate(instance.name).rate is not None:
+            if self._conditions.find_rate_limit(instance.name).rate is not None:
                 await self._take(instance, ctx.urgent)
                 ctx.permits[instance.name] = _now() + PERMIT_SECONDS
 
@@ -146,7 +146,7 @@
             start,
             instance.record.zone,
             lambda: self._count(self._kept, start, urgent),
-            lambda number: Ask(number, start, urgent, self._conditions.find_rate(start)),
+            lambda number: Ask(number, start, urgent, self._conditions.find_rate_limit(start)),
         )
         if seconds is None:
             seconds = self._count(self._own, start, urgent, len(self._list_members()))
@@ -157,7 +157,7 @@
             self._conditions.deny(start, seconds, urgent)
             raise UpstreamHeldError(f"the limit of {start} leaves none now", seconds)
 
-    async def ask_trial(self, name: RequestName) -> float:
+    async def request_trial(self, name: RequestName) -> float:
         """Return 0 where a quarantined request may be tried here, or the seconds to wait.
 
         One host at a time may: where each let one copy go, as many copies as hosts were under way
@@ -198,7 +198,7 @@
             self._members = members
             self._keepers.clear()
         if (start, zone) not in self._keepers:
-            self._keepers[start, zone] = find_keepers(members, start, zone)
+            self._keepers[start, zone] = find_owners(members, start, zone)
         return self._keepers[start, zone]
 
     def _count_trial(self, name: str) -> float:
@@ -216,7 +216,7 @@
     ) -> Answer | None:
         if self._silent_until.get(keeper.host, 0.0) > _now():
             return None
-        for _ in range(ASKS):
+        for _ in range(ASK_ATTEMPTS):
             answer = await self._ask(keeper, make)
             if answer is not None:
                 return answer
@@ -238,13 +238,13 @@
             del self._asked[number]
 
     def _count(
-        self, buckets: dict[str, RateBucket], start: str, urgent: bool, hosts: int = 1
+        self, buckets: dict[str, TokenBucket], start: str, urgent: bool, hosts: int = 1
     ) -> float:
         """Take one request of one of so many equal parts of a limit.
 
         Returns 0, or the seconds after which to ask again.
         """
-        rate = self._conditions.find_rate(start).rate
+        rate = self._conditions.find_rate_limit(start).rate
         if rate is None:
             buckets.pop(start, None)
             return 0.0
@@ -253,14 +253,14 @@
             if len(buckets) >= MOST_BUCKETS:
                 # Upstreams that ended while they named a limit leave theirs behind.
                 del buckets[next(iter(buckets))]
-            bucket = buckets[start] = RateBucket(_now())
-        longest = find_longest_pause(len(self._list_members()))
-        return bucket.take(max(rate, LEAST_RATE) / hosts, urgent, _now(), longest)
+            bucket = buckets[start] = TokenBucket(_now())
+        longest = find_max_retry_seconds(len(self._list_members()))
+        return bucket.take(max(rate, MIN_REQUESTS_PER_SECOND) / hosts, urgent, _now(), longest)
 
     # Telling.
 
     def _tell_limit(self, start: str, _: RateWord) -> None:
-        self._tell_twice(lambda: Tell(start, self._conditions.find_rate(start), spread=True))
+        self._tell_twice(lambda: Tell(start, self._conditions.find_rate_limit(start), spread=True))
 
     def _tell_leaving(self, start: str) -> None:
         self._tell_twice(lambda: Leaving(start, spread=True))
@@ -274,7 +274,7 @@
         """Tell all hosts, or in a large fleet two that tell all others."""
         members = self._list_members()
         tellers = self._find_keepers(message.start, "")
-        if not is_large(len(members)) or self._host in (item.host for item in tellers):
+        if not is_large_fleet(len(members)) or self._host in (item.host for item in tellers):
             self._tell_all(message)
             return
         for teller in tellers:
@@ -300,11 +300,11 @@
         if isinstance(message, Leaving):
             news = self._conditions.take_leaving(message.start, ip)
         else:
-            news = self._conditions.take_rate(message.start, message.word, ip)
+            news = self._conditions.apply_rate_limit(message.start, message.word, ip)
         match message:
             case Ask(number, start, urgent, _):
                 seconds = self._count(self._kept, start, urgent)
-                word = self._conditions.find_rate(start)
+                word = self._conditions.find_rate_limit(start)
                 self._send(ip, Answer(number, start, seconds, word))
             case Answer(number):
                 waiting = self._asked.get(number)
--- a/src/swifttrestle/internal/forward/reading.py
+++ b/src/swifttrestle/internal/forward/reading.py
@@ -15,7 +15,7 @@
 from swifttrestle.internal.forward.attempt import build_request
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.state.bookings import Booking, Outcome, Stage
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.transport.messages import Framing
@@ -71,9 +71,9 @@
 class PromptReader:
     """Has prompts read by the engines that were booked for it."""
 
-    def __init__(self, parts: Parts, booker: Booker) -> None:
+    def __init__(self, parts: GatewayState, booker: Booker) -> None:
         """Use the host's shared parts; give readers back to `booker`."""
-        self._parts = parts
+        self._state = parts
         self._booker = booker
         self._background: set[asyncio.Task[None]] = set()
 
@@ -88,19 +88,19 @@
         expected = booking.wait + booking.fetch_seconds + booking.tokens / reader.pace
         limit = max(LEAST_READ_SECONDS, READ_PATIENCE * expected)
         try:
-            await self._parts.permits.reserve(ctx, reader, booking.decoder)
-            async with self._parts.attempt(ctx, reader, acquits=False):
+            await self._state.permits.reserve(ctx, reader, booking.decoder)
+            async with self._state.attempt(ctx, reader, acquits=False):
                 handle = await self._call(ctx, booking, min(limit, max(0.0, ctx.left)))
             use.outcome = Outcome.DONE
-            self._parts.ejector.note_success(reader.name, loop.time())
+            self._state.ejector.note_success(reader.name, loop.time())
         except (UpstreamLeavingError, UpstreamBusyError, UpstreamBrokenError) as error:
-            use.outcome = self._parts.note_failed_use(ctx, reader, error)
+            use.outcome = self._state.note_failed_use(ctx, reader, error)
             self._note_lost(ctx, reader, use.outcome, str(error))
             return None
         finally:
             seconds = loop.time() - use.began
             self._booker.end(booking, Stage.READ, use.outcome, seconds)
-        self._parts.metrics.observe("gateway_read_seconds", seconds)
+        self._state.metrics.observe("gateway_read_seconds", seconds)
         ctx.note(f"read {handle.tokens} tokens")
         return handle
 
@@ -122,7 +122,7 @@
         ctx.excluded.add(reader.name)
         ctx.note(f"reader {reader.name} failed: {reason}")
         now = asyncio.get_running_loop().time()
-        budget = self._parts.budgets.find(ctx.service.name)
+        budget = self._state.budgets.find(ctx.service.name)
         if outcome in (Outcome.REFUSED, Outcome.GONE):
             budget.note_repeat(now)
             allowed = budget.allows(now)
@@ -143,7 +143,7 @@
         try:
             async with asyncio.timeout(limit):
                 head, content = await call_once(
-                    self._parts.pool,
+                    self._state.pool,
                     reader.name,
                     reader.record.address,
                     build_request(ctx, added),
@@ -173,7 +173,7 @@
             try:
                 async with asyncio.timeout(FREE_SECONDS):
                     await call_once(
-                        self._parts.pool,
+                        self._state.pool,
                         reader.name,
                         reader.record.address,
                         request,
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -20,12 +20,12 @@
 
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.booking import Booker, LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.forward.scheduler import Scheduler
-from swifttrestle.internal.policy.home_zones import list_homes, weigh_zones
+from swifttrestle.internal.policy.home_zones import count_engines_by_zone, list_home_zones
 from swifttrestle.internal.policy.scheduling import (
     find_scheduler,
-    is_large,
+    is_large_fleet,
     list_schedulers,
 )
 from swifttrestle.internal.protocol.bookings import (
@@ -80,13 +80,13 @@
     pace: float
 
 
-class SharedBooker(Booker):
+class ScheduledBooker(Booker):
     """Asks the scheduler of this host's zone, and schedules for others where it is the one."""
 
     def __init__(
         self,
         local: LocalBooker,
-        parts: Parts,
+        parts: GatewayState,
         socket: PeerSocket,
         host: str,
         list_members: Callable[[], Sequence[Member]],
@@ -98,7 +98,7 @@
         """
         self._is_near = is_near
         self._local = local
-        self._parts = parts
+        self._state = parts
         self._socket = socket
         self._host = host
         self._list_members = list_members
@@ -154,20 +154,20 @@
     def _exclude_broken(self, request: BookingRequest) -> BookingRequest:
         """Name the engines that this host cannot use now; the scheduler may not know of them."""
         now = _now()
-        engines = self._parts.fleet.list_service(request.service)
+        engines = self._state.fleet.list_service(request.service)
         names = {
             item.name
             for item in engines
-            if self._parts.ejector.is_out(item.name, now) or now < item.refused_until
+            if self._state.ejector.is_ejected(item.name, now) or now < item.refused_until
         }
         if len(names) == len(engines):
             names = set()
         names |= {
             item.name
             for item in engines
-            if self._parts.conditions.find_hold(item, now, request.urgent)
+            if self._state.conditions.find_hold(item, now, request.urgent)
         }
-        names |= self._parts.fleet.list_leaving(request.service)
+        names |= self._state.fleet.list_leaving(request.service)
         return replace(request, excluded=request.excluded | names) if names else request
 
     async def _await_answer(
@@ -189,8 +189,8 @@
     def _read_grant(
         self, scheduler: Member, grant: Grant, request: BookingRequest
     ) -> Booking | None:
-        reader = self._parts.fleet.instances.get(grant.reader)
-        decoder = self._parts.fleet.instances.get(grant.decoder)
+        reader = self._state.fleet.instances.get(grant.reader)
+        decoder = self._state.fleet.instances.get(grant.decoder)
         # The scheduler's list may be older than this host's, where it cannot reach the store.
         if any(engine is None or engine.record.leaving for engine in (reader, decoder)):
             log_decision("booking not used", reader=grant.reader, decoder=grant.decoder)
@@ -204,7 +204,7 @@
             grant.ahead,
             grant.wait,
             ticket,
-            source=self._parts.fleet.instances.get(grant.source),
+            source=self._state.fleet.instances.get(grant.source),
             fetch_seconds=grant.fetch_seconds,
         )
 
@@ -220,17 +220,17 @@
     def list_schedulers(self) -> set[str]:
         """Return the hosts that schedule engines of any service."""
         members = self._list_members()
-        if not is_large(len(members)):
+        if not is_large_fleet(len(members)):
             return set()
         found: set[str] = set()
-        for service in self._parts.fleet.list_engine_services():
-            engines = self._parts.fleet.list_service(service)
+        for service in self._state.fleet.list_engine_services():
+            engines = self._state.fleet.list_service(service)
             found |= list_schedulers(members, service, engines)
         return found
 
-    def books(self) -> bool:
+    def schedules_engines(self) -> bool:
         """Return whether this host chooses engines itself, for its own callers or for others."""
-        return not is_large(len(self._list_members())) or self._host in self.list_schedulers()
+        return not is_large_fleet(len(self._list_members())) or self._host in self.list_schedulers()
 
     async def run(self) -> None:
         """Schedule for others for as long as the process lives."""
@@ -241,9 +241,9 @@
     def _find_homes(self, service: str) -> _Homes:
         known = self._homes.get(service)
         if known is None or _now() >= known.until:
-            engines = self._parts.fleet.list_service(service)
+            engines = self._state.fleet.list_service(service)
             zones = {item.zone for item in self._list_members() if self._is_near(item.zone)}
-            weights = weigh_zones(engines, zones)
+            weights = count_engines_by_zone(engines, zones)
             pace = max((item.pace for item in engines), default=0.0)
             known = _Homes(_now() + HOMES_SECONDS, weights, pace)
             self._homes[service] = known
@@ -251,10 +251,10 @@
 
     def _choose_schedulers(self, request: BookingRequest) -> Iterator[tuple[str, Member]]:
         """Yield the schedulers to ask in turn, each with the zone to book in."""
-        if not is_large(len(self._list_members())):
+        if not is_large_fleet(len(self._list_members())):
             return
         homes = self._find_homes(request.service)
-        for zone in list_homes(request.parts, homes.weights, homes.pace, request.zone):
+        for zone in list_home_zones(request.parts, homes.weights, homes.pace, request.zone):
             found = self._find_scheduler(request.service, zone if zone in homes.weights else "")
             if found is not None and _now() >= self._silent_until.get(found.host, 0.0):
                 yield zone, found
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -6,7 +6,7 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.protocol.bookings import Ask, End, Grant, Message, Refuse, Wait
 from swifttrestle.internal.state.bookings import (
     Booking,
@@ -46,13 +46,13 @@
     def __init__(
         self,
         local: LocalBooker,
-        parts: Parts,
+        parts: GatewayState,
         send: Callable[[str, Message], None],
         list_members: Callable[[], Sequence[Member]],
     ) -> None:
         """Book by `local`; answer hosts by `send`, which takes an IP and a message."""
         self._local = local
-        self._parts = parts
+        self._state = parts
         self._send = send
         self._list_members = list_members
         self._kept: dict[Ticket, _Kept] = {}
@@ -133,11 +133,11 @@
     def _note_outcome(self, engine: Instance, outcome: Outcome) -> None:
         match outcome:
             case Outcome.DONE:
-                self._parts.ejector.note_success(engine.name, _now())
+                self._state.ejector.note_success(engine.name, _now())
             case Outcome.REFUSED:
-                self._parts.note_refusal(engine, _now())
+                self._state.note_refusal(engine, _now())
             case Outcome.BROKEN:
-                self._parts.note_failure(engine, _now(), "a peer found it broken")
+                self._state.note_failure(engine, _now(), "a peer found it broken")
             case Outcome.GONE | Outcome.CANCELLED:
                 # That it is gone, the discovery list tells; a wrong word must not drop it.
                 pass
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -11,7 +11,7 @@
 from swifttrestle.internal.coordination.duties import Duties
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.event_log import WRITER
-from swifttrestle.internal.forward.gateway_state import Parts
+from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.pages import Page, PageHandler
 from swifttrestle.internal.state.request_fingerprints import read_shown_name
 from swifttrestle.internal.state_dump import describe_fleet, describe_quarantine
@@ -29,7 +29,7 @@
         self,
         host: str,
         is_ready: Callable[[], bool],
-        parts: Parts,
+        parts: GatewayState,
         configuration: ConfigurationKeeper,
         gossip: Gossip,
         discovery: Discovery,
@@ -39,7 +39,7 @@
         """Show what these parts know."""
         self._host = host
         self._is_ready = is_ready
-        self._parts = parts
+        self._state = parts
         self._configuration = configuration
         self._gossip = gossip
         self._discovery = discovery
@@ -59,7 +59,7 @@
         return Page(200 if self._is_ready() else 503)
 
     def _make_metrics(self) -> Page:
-        return Page(200, b"text/plain; version=0.0.4", self._parts.metrics.render())
+        return Page(200, b"text/plain; version=0.0.4", self._state.metrics.render())
 
     def _make_state(self) -> Page:
         state = {
@@ -68,10 +68,10 @@
             "ready": self._is_ready(),
             "live": self._gossip.live_hosts(),
             "store": self._store.epochs.describe(),
-            "instances": describe_fleet(self._parts.fleet),
-            "conditions": self._parts.conditions.describe(_now()),
+            "instances": describe_fleet(self._state.fleet),
+            "conditions": self._state.conditions.describe(_now()),
             "duties": self._duties.describe(),
-            "quarantine": describe_quarantine(self._parts.guard.quarantine, _now()),
+            "quarantine": describe_quarantine(self._state.guard.quarantine, _now()),
         }
         return Page(200, b"application/json", orjson.dumps(state))
 
@@ -80,9 +80,9 @@
             name = read_shown_name(parse_qs(query.decode("latin-1")).get("name", [""])[0])
         except ValueError as error:
             return Page(400, content=f"name: {error}\n".encode())
-        if self._parts.guard.quarantine.find(name) is None:
+        if self._state.guard.quarantine.find(name) is None:
             return Page(404, content=f"name: {name} is not known; see /debug/state\n".encode())
-        self._parts.guard.acquit(name, "an operator")
+        self._state.guard.clear_crashes(name, "an operator")
         return Page(200, content=f"{name} is let go\n".encode())
 
     def _add_gauges(self) -> None:
@@ -97,7 +97,7 @@
             (
                 "quarantined_requests",
                 "Requests that are kept from upstreams, or were until a while ago",
-                lambda: len(self._parts.guard.quarantine.list_quarantined()),
+                lambda: len(self._state.guard.quarantine.list_quarantined()),
             ),
             ("store_epoch", "Epoch of the object store", lambda: self._store.epochs.current),
             (
@@ -106,11 +106,11 @@
                 lambda: self._store.epochs.returns,
             ),
             ("store_calls", "Calls to the object store", lambda: self._store.calls),
-            ("upstream_connections", "Connections opened", lambda: self._parts.pool.opened),
+            ("upstream_connections", "Connections opened", lambda: self._state.pool.opened),
             ("lines_dropped", "Log lines dropped", lambda: WRITER.dropped),
         ]
         for name, doc, read in gauges:
-            self._parts.metrics.add_gauge(name, doc, read)
+            self._state.metrics.add_gauge(name, doc, read)
 
 
 def _now() -> float:
--- a/src/swifttrestle/internal/policy/admission.py
+++ b/src/swifttrestle/internal/policy/admission.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from swifttrestle.internal.policy.routing import URGENT, Candidate, Work, predict_finish
+from swifttrestle.internal.policy.routing import URGENT, Candidate, RequestEstimate, predict_finish
 
 URGENT_OVERFLOW = 1.5
 LEAST_RETRY_AFTER = 1.0
@@ -29,7 +29,7 @@
     """A decision with the candidates that have room, and seconds until room is expected."""
 
     decision: Decision
-    roomy: tuple[Candidate, ...]
+    available: tuple[Candidate, ...]
     retry_after: float
 
 
@@ -38,7 +38,12 @@
 
     @abstractmethod
     def decide(
-        self, candidates: Sequence[Candidate], work: Work, left: float, ahead: int, limit: int
+        self,
+        candidates: Sequence[Candidate],
+        work: RequestEstimate,
+        left: float,
+        ahead: int,
+        limit: int,
     ) -> AdmissionResult:
         """Decide on one request.
 
@@ -51,7 +56,12 @@
     """Baseline: everything goes at once, whatever the load."""
 
     def decide(
-        self, candidates: Sequence[Candidate], work: Work, left: float, ahead: int, limit: int
+        self,
+        candidates: Sequence[Candidate],
+        work: RequestEstimate,
+        left: float,
+        ahead: int,
+        limit: int,
     ) -> AdmissionResult:
         """Let the request go."""
         decision = Decision.GO if candidates else Decision.REFUSE
@@ -66,20 +76,25 @@
         self._reserve = urgent_reserve
 
     def decide(
-        self, candidates: Sequence[Candidate], work: Work, left: float, ahead: int, limit: int
+        self,
+        candidates: Sequence[Candidate],
+        work: RequestEstimate,
+        left: float,
+        ahead: int,
+        limit: int,
     ) -> AdmissionResult:
         """Judge one request by room, predicted finish and the line before it."""
         if not candidates:
             return AdmissionResult(Decision.REFUSE, (), LEAST_RETRY_AFTER)
         in_time = [c for c in candidates if predict_finish(c, work) <= left]
-        roomy = tuple(c for c in in_time if self.has_room(c, work.priority))
-        if roomy and not ahead:
-            return AdmissionResult(Decision.GO, roomy, 0.0)
+        available = tuple(c for c in in_time if self.has_room(c, work.priority))
+        if available and not ahead:
+            return AdmissionResult(Decision.GO, available, 0.0)
         wait = self._predict_wait(candidates, work, ahead)
         fastest = min(predict_finish(c, work) for c in candidates)
         if ahead >= limit or wait + fastest > left:
             return AdmissionResult(Decision.REFUSE, (), self._bound(wait))
-        return AdmissionResult(Decision.WAIT, roomy, self._bound(wait))
+        return AdmissionResult(Decision.WAIT, available, self._bound(wait))
 
     def has_room(self, candidate: Candidate, priority: str) -> bool:
         """Return whether an upstream has room for one more request of a priority."""
@@ -87,7 +102,9 @@
             return candidate.inflight < candidate.slots * URGENT_OVERFLOW
         return candidate.inflight < max(1.0, candidate.slots * (1 - self._reserve))
 
-    def _predict_wait(self, candidates: Sequence[Candidate], work: Work, ahead: int) -> float:
+    def _predict_wait(
+        self, candidates: Sequence[Candidate], work: RequestEstimate, ahead: int
+    ) -> float:
         """Return the seconds until a request behind `ahead` others finds room."""
         # Requests of the same shape end at this rate over all upstreams together.
         ends = sum(c.slots / max(predict_finish(c, work), 0.001) for c in candidates)
--- a/src/swifttrestle/internal/policy/backoff.py
+++ b/src/swifttrestle/internal/policy/backoff.py
@@ -9,7 +9,7 @@
 MOST_DOUBLINGS = 6
 
 
-def draw_pause(rng: random.Random, failures: int, first: float, longest: float) -> float:
+def draw_backoff(rng: random.Random, failures: int, first: float, longest: float) -> float:
     """Return the seconds to wait after so many failures in a row, one at least.
 
     The pause doubles from `first` to `longest`, both in seconds.
@@ -18,6 +18,6 @@
     return pause * (LEAST_SHARE + SPREAD * rng.random())
 
 
-def find_longest(seconds: float) -> float:
+def find_max_backoff(seconds: float) -> float:
     """Return the longest wait that is drawn for a pause of some seconds."""
     return seconds * (LEAST_SHARE + SPREAD)
--- a/src/swifttrestle/internal/policy/capacity.py
+++ b/src/swifttrestle/internal/policy/capacity.py
@@ -20,10 +20,10 @@
 from swifttrestle.internal.state.fleet import UNKNOWN_READ_RATE, Instance
 
 # Seconds for which the highest need counts: some swings of a few seconds, and a wave of eleven.
-REMEMBER_SECONDS = 60.0
+PEAK_WINDOW_SECONDS = 60.0
 # A plan is lowered only where it is over the need by this factor: each upstream that comes back
 # later is cold, and costs an order of its role.
-LOWER_FACTOR = 1.25
+SCALE_DOWN_FACTOR = 1.25
 # Lasting upstreams of a zone beside its reclaimable ones: all of these go at once.
 LASTING_PER_ZONE = 1
 # A reclaimable upstream is worth its risk only below this share of a lasting one's price: half as
@@ -35,7 +35,8 @@
 class ZoneUpstreams:
     """What serves in a zone now, neither leaving nor coming, and whether more can be had there.
 
-    `counts_standing` says that the platform has refused an order over the most for what stands of
+    `limit_includes_existing` says that the platform has refused an order over the most for what
+    stands of
     the other kind, and not for what is to stay of it.
     """
 
@@ -43,7 +44,7 @@
     lasting: int
     reclaimable: int
     dry: bool = False
-    counts_standing: bool = False
+    limit_includes_existing: bool = False
 
 
 @dataclass(frozen=True)
@@ -55,7 +56,7 @@
     reclaimable: int
 
 
-def count_lasting_through(zones: Sequence[ZoneUpstreams | ZonePlan]) -> int:
+def count_after_zone_loss(zones: Sequence[ZoneUpstreams | ZonePlan]) -> int:
     """Return how many upstreams are left when the fullest zone's reclaimable ones are gone."""
     lasting = sum(item.lasting for item in zones)
     reclaimable = [item.reclaimable for item in zones]
@@ -77,7 +78,7 @@
     return math.ceil(readers) + math.ceil(decoders)
 
 
-class NeedMemory:
+class PeakNeed:
     """The highest need of the last minute; what stood at the start counts as the first one."""
 
     def __init__(self) -> None:
@@ -88,10 +89,10 @@
     def note(self, need: int, now: float) -> int:
         """Take over the need of now; return the one to plan for."""
         self._needs.append((now, need))
-        while now - self._needs[0][0] > REMEMBER_SECONDS:
+        while now - self._needs[0][0] > PEAK_WINDOW_SECONDS:
             self._needs.popleft()
         highest = max(item for _, item in self._needs)
-        if highest > self._planned or highest * LOWER_FACTOR < self._planned:
+        if highest > self._planned or highest * SCALE_DOWN_FACTOR < self._planned:
             self._planned = highest
         return self._planned
 
@@ -106,7 +107,7 @@
         """Return what each zone is to have; `need` is how many upstreams have to serve."""
 
 
-class StandingCapacity(CapacityPolicy):
+class UnchangedCapacity(CapacityPolicy):
     """All as it stands."""
 
     def plan(
@@ -116,7 +117,7 @@
         return tuple(ZonePlan(item.zone, item.lasting, item.reclaimable) for item in zones)
 
 
-class LastingCapacity(CapacityPolicy):
+class NonReclaimableCapacity(CapacityPolicy):
     """Lasting upstreams alone, spread evenly: where reclaimable ones are none, or are dear."""
 
     def plan(
@@ -131,7 +132,7 @@
         return tuple(ZonePlan(item.zone, _clamp(counts[item.zone], scaling), 0) for item in zones)
 
 
-class ReservedCapacity(CapacityPolicy):
+class ZoneRedundantCapacity(CapacityPolicy):
     """Reclaimable upstreams with a reserve for the loss of any one zone, over a lasting base."""
 
     def plan(
@@ -145,7 +146,7 @@
         lasting = self._plan_lasting(zones, need, base)
         plans = []
         for item in zones:
-            beside = max(base, lasting[item.zone]) if item.counts_standing else base
+            beside = max(base, lasting[item.zone]) if item.limit_includes_existing else base
             count = min(reclaimable, max(0, scaling.most - beside))
             least = max(lasting[item.zone], scaling.least - count)
             plans.append(ZonePlan(item.zone, least, count))
@@ -156,7 +157,7 @@
         serving = [
             ZoneUpstreams(item.zone, min(base, item.lasting), item.reclaimable) for item in zones
         ]
-        missing = max(0, need - count_lasting_through(serving))
+        missing = max(0, need - count_after_zone_loss(serving))
         # Lasting ones take longer to come than most shortages last: none are ordered anew unless
         # no reclaimable one can be had anywhere.
         dry = all(item.dry for item in zones)
@@ -170,14 +171,14 @@
         return lasting
 
 
-def choose_policy(scaling: Scaling, zones: int) -> CapacityPolicy:
+def choose_capacity_policy(scaling: Scaling, zones: int) -> CapacityPolicy:
     """Return the way that fits a service's prices and the number of its zones.
 
     In a single zone all reclaimable upstreams go at once, and nothing is left in their place.
     """
     if zones > 1 and scaling.reclaimable_price <= RECLAIMABLE_PRICE:
-        return ReservedCapacity()
-    return LastingCapacity()
+        return ZoneRedundantCapacity()
+    return NonReclaimableCapacity()
 
 
 def _clamp(count: int, scaling: Scaling) -> int:
--- a/src/swifttrestle/internal/policy/ejection.py
+++ b/src/swifttrestle/internal/policy/ejection.py
@@ -70,9 +70,9 @@
             # It failed the request that tried it.
             health.out_until = now
             health.failures = FAILURES_TO_EJECT
-        if health.failures < FAILURES_TO_EJECT or self.is_out(name, now):
+        if health.failures < FAILURES_TO_EJECT or self.is_ejected(name, now):
             return False
-        out = sum(1 for other in group if self.is_out(other, now))
+        out = sum(1 for other in group if self.is_ejected(other, now))
         if out + 1 > max(1, int(self.cap * len(group))):
             return False
         seconds = min(LONGEST_SECONDS, BASE_SECONDS * 2**health.ejections)
@@ -83,7 +83,7 @@
         health.on_trial = True
         return True
 
-    def is_out(self, name: str, now: float) -> bool:
+    def is_ejected(self, name: str, now: float) -> bool:
         """Return whether the upstream is left out now."""
         health = self._health.get(name)
         return health is not None and now < health.out_until
--- a/src/swifttrestle/internal/policy/hash_ring.py
+++ b/src/swifttrestle/internal/policy/hash_ring.py
@@ -16,7 +16,7 @@
 KEEPERS = 2
 
 
-class KeeperRing:
+class HashRing:
     """Hosts in the order of a hash of their names; a request's keepers follow its own hash.
 
     Among 790 hosts they are found in 1.2 us; the ring takes 0.8 ms each time that members change.
--- a/src/swifttrestle/internal/policy/home_zones.py
+++ b/src/swifttrestle/internal/policy/home_zones.py
@@ -32,7 +32,7 @@
 _RANKS = 2**64
 
 
-def weigh_zones(engines: Iterable[Instance], zones: Collection[str]) -> dict[str, int]:
+def count_engines_by_zone(engines: Iterable[Instance], zones: Collection[str]) -> dict[str, int]:
     """Return how many of a service's engines each of `zones` has, where they are enough.
 
     `zones` are those of one region: between regions a copy takes five times as long as between
@@ -44,7 +44,7 @@
     return {zone: counts[zone] for zone in sorted(zones) if counts[zone] >= ENOUGH_ENGINES}
 
 
-def list_homes(
+def list_home_zones(
     parts: Sequence[PromptPart], weights: Mapping[str, int], pace: float, near: str
 ) -> tuple[str, ...]:
     """Return the zones to book a prompt in, the best first; `pace` is in tokens a second.
--- a/src/swifttrestle/internal/policy/placement.py
+++ b/src/swifttrestle/internal/policy/placement.py
@@ -81,7 +81,7 @@
     return item.total.requests >= max(1.0, item.record.slots * share)
 
 
-def pick_reader(
+def pick_prefill_engine(
     instances: Sequence[Instance], tokens: int, affinity: str, excluded: Collection[str],
     now: float, longest_wait: float, parts: Sequence[PromptPart] = (),
     plan: FetchPlan = fetch_nothing, latest: float = math.inf,
--- a/src/swifttrestle/internal/policy/quarantine.py
+++ b/src/swifttrestle/internal/policy/quarantine.py
@@ -21,7 +21,7 @@
 CRASHES_TO_QUARANTINE = 2
 # Seconds of the first quarantine: upstreams are back by then. An innocent popular call, of which no
 # copy ran elsewhere between two crashes, waits no longer; with 3 or 10 s the model serves as many.
-FIRST_SECONDS = 5.0
+FIRST_QUARANTINE_SECONDS = 5.0
 # Seconds after a crash of the copy that was tried next: one crash in ten minutes is what upstreams
 # suffer anyway. Crashes before that, of copies that were under way or went out from a host that had
 # just started, do not count for it: a popular call was refused for minutes where all engines
@@ -29,10 +29,10 @@
 LONG_SECONDS = 600.0
 # Hosts let a request go again at different moments, over this share of its quarantine: the first
 # one finds out for all, within some tens of milliseconds, whether it still crashes upstreams.
-SPREAD = 0.5
+RELEASE_JITTER_SHARE = 0.5
 # Seconds after the last crash at which it is forgotten: more than the longest quarantine, so that
 # the next crash after one is again one too many.
-FORGET_SECONDS = 1200.0
+CRASH_RETENTION_SECONDS = 1200.0
 
 # Seconds by which a crash that others tell may seem later than it was: their words take so long.
 # An answer acquits of those as well; what crashes each upstream never gets one.
@@ -62,7 +62,7 @@
     in_order = sorted(crashes, key=lambda crash: crash.at)
     for crash in in_order[CRASHES_TO_QUARANTINE - 1 :]:
         if term is None:
-            term = Term(crash.at, FIRST_SECONDS)
+            term = Term(crash.at, FIRST_QUARANTINE_SECONDS)
         elif crash.at >= term.since + term.seconds:
             term = Term(crash.at, LONG_SECONDS)
     return term
@@ -97,8 +97,10 @@
     """Cases by name; times are the loop's seconds."""
 
     def __init__(self, late_share: float) -> None:
-        """Let requests go late by this share of `SPREAD`, from 0 to 1: another one at each host."""
-        self._late = 1 + SPREAD * late_share
+        """Let requests go late by this share of `RELEASE_JITTER_SHARE`, from 0 to 1: another one
+        at each host.
+        """
+        self._late = 1 + RELEASE_JITTER_SHARE * late_share
         self._known: dict[RequestName, _Known] = {}
         self._heads: Counter[bytes] = Counter()
         self._quarantined: set[RequestName] = set()
@@ -118,7 +120,10 @@
         acquitted_at = self._acquitted.get(name, float("-inf"))
         before = list(known.crashes)
         for crash in crashes:
-            old = crash.at <= acquitted_at + TOLD_LATE_SECONDS or now - crash.at >= FORGET_SECONDS
+            old = (
+                crash.at <= acquitted_at + TOLD_LATE_SECONDS
+                or now - crash.at >= CRASH_RETENTION_SECONDS
+            )
             if not old and not known.has(crash):
                 known.crashes.append(crash)
         known.crashes.sort(key=lambda crash: crash.at, reverse=True)
@@ -129,7 +134,7 @@
         self._keep(name, known)
         return True
 
-    def acquit(self, name: RequestName, at: float) -> bool:
+    def clear_crashes(self, name: RequestName, at: float) -> bool:
         """Take over that a request got its own answer; return whether crashes are forgotten.
 
         What crashes each upstream that runs it never gets one.
@@ -175,7 +180,7 @@
     def expire(self, now: float) -> None:
         """Forget what is long past."""
         for name, known in list(self._known.items()):
-            if now - known.order[1] >= FORGET_SECONDS:
+            if now - known.order[1] >= CRASH_RETENTION_SECONDS:
                 self._close(name)
 
     def _keep(self, name: RequestName, known: _Known) -> None:
--- a/src/swifttrestle/internal/policy/rate_limits.py
+++ b/src/swifttrestle/internal/policy/rate_limits.py
@@ -16,7 +16,7 @@
 URGENT_RESERVE = 1.0
 # Requests a second that are sent to an upstream that takes none: somebody has to hear when it
 # takes some again.
-LEAST_RATE = 0.25
+MIN_REQUESTS_PER_SECOND = 0.25
 # Seconds after which a host that was turned away may ask again at the latest in a small fleet, and
 # asks a second that a keeper gets at most in a large one: all hosts are told when a limit changes,
 # so that none waits for that.
@@ -25,10 +25,10 @@
 # Hosts that count for an upstream, in turn: the second one where the first does not answer.
 KEEPERS = 2
 # Times that each is asked: one lost datagram must not have two hosts count at once.
-ASKS = 2
+ASK_ATTEMPTS = 2
 
 
-class RateBucket:
+class TokenBucket:
     """Counts the requests that an upstream takes, for as many hosts as ask."""
 
     def __init__(self, now: float) -> None:
@@ -56,12 +56,12 @@
         return min(longest_pause, seconds)
 
 
-def find_longest_pause(hosts: int) -> float:
+def find_max_retry_seconds(hosts: int) -> float:
     """Return the seconds after which a host that was turned away asks again at the latest."""
     return max(LONGEST_PAUSE, hosts / MOST_ASKS_A_SECOND)
 
 
-def find_keepers(members: Sequence[Member], start: str, zone: str) -> list[Member]:
+def find_owners(members: Sequence[Member], start: str, zone: str) -> list[Member]:
     """Return the hosts that count for an upstream in a zone, the first one first.
 
     They are near it where its zone has hosts, and have the fastest links of these.
--- a/src/swifttrestle/internal/policy/revocation.py
+++ b/src/swifttrestle/internal/policy/revocation.py
@@ -27,20 +27,20 @@
     UNCONFIRMED = "unconfirmed"
 
 
-def judge_key(known: bool, age: float, bound: float) -> Verdict:
+def check_key(known: bool, age: float, bound: float) -> Verdict:
     """Judge a key that the version in force knows, or not.
 
     `age` is for how many seconds, when the request was received, nothing had proved that version
     to be the newest; `bound` is how long after its removal a key may be served, infinite where
     nothing but the version in force counts.
     """
-    if not is_young(age, bound):
+    if not is_fresh(age, bound):
         return Verdict.UNCONFIRMED
     if known:
         return Verdict.ALLOWED
     return Verdict.UNKNOWN if age <= UNKNOWN_KEY_SECONDS else Verdict.UNCONFIRMED
 
 
-def is_young(age: float, bound: float) -> bool:
+def is_fresh(age: float, bound: float) -> bool:
     """Return whether keys may be taken by a belief of an age."""
     return age <= bound - CLOCK_MARGIN
--- a/src/swifttrestle/internal/policy/role_delay.py
+++ b/src/swifttrestle/internal/policy/role_delay.py
@@ -8,7 +8,7 @@
 from swifttrestle.internal.state.declared import Role
 
 
-class RoleDelay:
+class RoleChangeDelay:
     """Since when each service's engines are wanted in another role; used by the planning host."""
 
     def __init__(self) -> None:
--- a/src/swifttrestle/internal/policy/roles.py
+++ b/src/swifttrestle/internal/policy/roles.py
@@ -82,7 +82,7 @@
         return None
 
 
-class WeighedRoles(RolePlanner):
+class CostAwareRoles(RolePlanner):
     """Changes a role when what it saves outweighs what it costs; used where a policy asks for it.
 
     The cost of a change is the engine's time away, and of its way back the same again. What
--- a/src/swifttrestle/internal/policy/routing.py
+++ b/src/swifttrestle/internal/policy/routing.py
@@ -12,13 +12,13 @@
 SAMPLE = 3
 SMALL_SET = 4
 FAR_SECONDS = 0.004
-UNKNOWN_RATE = 8000.0
-UNKNOWN_TOKEN_SECONDS = 0.03
+DEFAULT_PREFILL_RATE = 8000.0
+DEFAULT_TOKEN_SECONDS = 0.03
 URGENT = "urgent"
 
 
 @dataclass(frozen=True)
-class Work:
+class RequestEstimate:
     """What a request asks for; token counts are estimates."""
 
     prompt_tokens: int
@@ -31,7 +31,8 @@
     """An upstream that may take a request, as this process sees it now.
 
     `waiting_tokens` and `inflight` are the last report corrected by own sends since;
-    `share` falls below 1 while an upstream comes back after having been left out. `via` names
+    `share` falls below 1 while an upstream comes back after having been left out. `prefill_engine`
+    names
     the engine that prefills the prompt where this one only decodes.
     """
 
@@ -41,11 +42,11 @@
     inflight: float
     slots: int
     cached_tokens: int
-    prefill_rate: float = UNKNOWN_RATE
-    token_seconds: float = UNKNOWN_TOKEN_SECONDS
+    prefill_rate: float = DEFAULT_PREFILL_RATE
+    token_seconds: float = DEFAULT_TOKEN_SECONDS
     share: float = 1.0
     reported_inflight: float = 0.0
-    via: str = ""
+    prefill_engine: str = ""
 
 
 class Router(ABC):
@@ -53,7 +54,7 @@
 
     @abstractmethod
     def pick(
-        self, candidates: Sequence[Candidate], work: Work, rng: random.Random
+        self, candidates: Sequence[Candidate], work: RequestEstimate, rng: random.Random
     ) -> Candidate | None:
         """Return the choice, or None where there is no candidate."""
 
@@ -66,7 +67,7 @@
         self._next = 0
 
     def pick(
-        self, candidates: Sequence[Candidate], work: Work, rng: random.Random
+        self, candidates: Sequence[Candidate], work: RequestEstimate, rng: random.Random
     ) -> Candidate | None:
         """Return the next candidate in order of name."""
         if not candidates:
@@ -79,7 +80,7 @@
     """Baseline: least load by the report alone, however old it is."""
 
     def pick(
-        self, candidates: Sequence[Candidate], work: Work, rng: random.Random
+        self, candidates: Sequence[Candidate], work: RequestEstimate, rng: random.Random
     ) -> Candidate | None:
         """Return the candidate with the least reported share of its slots in use."""
         if not candidates:
@@ -96,7 +97,7 @@
     """
 
     def pick(
-        self, candidates: Sequence[Candidate], work: Work, rng: random.Random
+        self, candidates: Sequence[Candidate], work: RequestEstimate, rng: random.Random
     ) -> Candidate | None:
         """Return the candidate with the earliest predicted finish among those drawn."""
         if not candidates:
@@ -112,7 +113,7 @@
         return min(ready, key=lambda c: predict_finish(c, work))
 
 
-def predict_first_token(candidate: Candidate, work: Work) -> float:
+def predict_first_token(candidate: Candidate, work: RequestEstimate) -> float:
     """Return the predicted seconds to the first token."""
     uncached = max(1, work.prompt_tokens - candidate.cached_tokens)
     queued = 0.0 if work.priority == URGENT else candidate.waiting_tokens
@@ -124,7 +125,7 @@
     return seconds + (0.0 if candidate.near else FAR_SECONDS)
 
 
-def predict_finish(candidate: Candidate, work: Work) -> float:
+def predict_finish(candidate: Candidate, work: RequestEstimate) -> float:
     """Return the predicted seconds to the whole answer."""
     crowding = 1 + candidate.inflight / (4 * candidate.slots)
     decode = work.output_tokens * candidate.token_seconds * crowding
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -15,7 +15,7 @@
 REPRESENTATIVES = 2
 
 
-def is_large(members: int) -> bool:
+def is_large_fleet(members: int) -> bool:
     """Return whether so many hosts book through schedulers."""
     return members > SMALL_FLEET_HOSTS
 
@@ -28,7 +28,7 @@
     )[:REPRESENTATIVES]
 
 
-def find_group(engines: Sequence[Instance], zone: str) -> str:
+def find_scheduling_group(engines: Sequence[Instance], zone: str) -> str:
     """Return the zone whose engines serve a host of `zone`, or "" for those of all zones.
 
     A zone is on its own where it has engines enough to keep both roles when one is lost.
@@ -53,6 +53,6 @@
     members: Sequence[Member], service: str, engines: Sequence[Instance]
 ) -> set[str]:
     """Return the hosts that schedule a service's engines, one for each group of them."""
-    groups = {find_group(engines, item.zone) for item in members}
+    groups = {find_scheduling_group(engines, item.zone) for item in members}
     found = (find_scheduler(members, service, group) for group in groups)
     return {item.host for item in found if item is not None}
--- a/src/swifttrestle/internal/policy/waiting.py
+++ b/src/swifttrestle/internal/policy/waiting.py
@@ -16,7 +16,7 @@
 SILENT_PAUSES = 8.0
 # Share of the objective within which a prompt must have been read, its waits included; the rest
 # is for the copy of its KV cache, the first token and the way to the caller.
-IN_TIME_SHARE = 0.75
+PREFILL_DEADLINE_SHARE = 0.75
 # Share of the objective for which a request that could not be placed in time waits for an engine
 # that is free sooner than predicted. What is open drains no faster than the time that is left,
 # so a longer wait would seldom bring a place, and hold its caller up.
--- a/src/swifttrestle/internal/state/upstreams.py
+++ b/src/swifttrestle/internal/state/upstreams.py
@@ -14,8 +14,8 @@
 from swifttrestle.internal.coordination.membership import OpenCounter
 from swifttrestle.internal.policy.ejection import Ejector
 from swifttrestle.internal.policy.routing import (
-    UNKNOWN_RATE,
-    UNKNOWN_TOKEN_SECONDS,
+    DEFAULT_PREFILL_RATE,
+    DEFAULT_TOKEN_SECONDS,
     Candidate,
 )
 from swifttrestle.internal.protocol.engine import LoadReport
@@ -43,8 +43,8 @@
     reported_at: float = float("-inf")
     open: int = 0
     sends: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=4096))
-    prefill_rate: float = UNKNOWN_RATE
-    token_seconds: float = UNKNOWN_TOKEN_SECONDS
+    prefill_rate: float = DEFAULT_PREFILL_RATE
+    token_seconds: float = DEFAULT_TOKEN_SECONDS
     refused_until: float = float("-inf")
 
 
@@ -115,7 +115,7 @@
             return False
         if self._closings.is_closed(name) or now < state.refused_until:
             return False
-        if self._ejector.is_out(name, now):
+        if self._ejector.is_ejected(name, now):
             return False
         if wanted.service.type == "plain":
             return upstream.type == "plain" and wanted.service.name in upstream.services
@@ -157,7 +157,7 @@
             found = found + [
                 replace(
                     candidate,
-                    via=best.name,
+                    prefill_engine=best.name,
                     waiting_tokens=best.waiting_tokens,
                     prefill_rate=best.prefill_rate,
                     cached_tokens=best.cached_tokens,
@@ -296,7 +296,7 @@
                     "report_age": round(now - state.reported_at, 3) if state.report else None,
                     "prefill_rate": round(state.prefill_rate),
                     "token_seconds": round(state.token_seconds, 5),
-                    "out": self._ejector.is_out(name, now),
+                    "out": self._ejector.is_ejected(name, now),
                     "closed": self._closings.is_closed(name),
                 }
                 for name, state in self._states.items()
--- a/tests/cover/test_backoff.py
+++ b/tests/cover/test_backoff.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from swifttrestle.internal.policy.backoff import draw_pause, find_longest
+from swifttrestle.internal.policy.backoff import draw_backoff, find_max_backoff
 
 
 @pytest.mark.parametrize(
@@ -12,6 +12,6 @@
 )
 def test_a_pause_doubles_up_to_the_longest_and_is_spread_around_it(failures, pause):
     rng = random.Random(1)
-    drawn = [draw_pause(rng, failures, 0.1, 0.4) for _ in range(500)]
+    drawn = [draw_backoff(rng, failures, 0.1, 0.4) for _ in range(500)]
     assert pause * 0.5 <= min(drawn) < pause * 0.55
-    assert pause * 1.45 < max(drawn) <= find_longest(pause)
+    assert pause * 1.45 < max(drawn) <= find_max_backoff(pause)
--- a/tests/cover/test_bookings.py
+++ b/tests/cover/test_bookings.py
@@ -11,10 +11,14 @@
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.forward import scheduled_booking
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
-from swifttrestle.internal.forward.scheduled_booking import SharedBooker
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
+from swifttrestle.internal.forward.scheduled_booking import ScheduledBooker
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.scheduling import find_group, find_scheduler, is_large
+from swifttrestle.internal.policy.scheduling import (
+    find_scheduler,
+    find_scheduling_group,
+    is_large_fleet,
+)
 from swifttrestle.internal.protocol.bookings import (
     Ask,
     End,
@@ -67,8 +71,8 @@
         for engine, role in engines:
             fleet.put(UpstreamRecord(engine, "s", ("127.0.0.1", 1), "a", 10, False, role))
         budgets = RetryBudgets(0.2, 50, 10)
-        self.parts = Parts("a", fleet, budgets, Metrics(), random.Random(seed))
-        self.booker = SharedBooker(
+        self.parts = GatewayState("a", fleet, budgets, Metrics(), random.Random(seed))
+        self.booker = ScheduledBooker(
             LocalBooker(self.parts), self.parts, network.socket(name), name, lambda: members
         )
 
@@ -81,7 +85,7 @@
 
 def run_hosts(act, monkeypatch, names="hij", engines=TWO_ENGINES, answer_seconds=30.0):
     """Run `act` with the hosts, the scheduler first."""
-    monkeypatch.setattr(scheduled_booking, "is_large", lambda _: True)
+    monkeypatch.setattr(scheduled_booking, "is_large_fleet", lambda _: True)
     monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", answer_seconds)
 
     async def whole():
@@ -330,7 +334,7 @@
         Instance(UpstreamRecord(f"e{n}", "s", ("h", 1), name, 10, False, Role.PREFILL))
         for n, name in enumerate(zones)
     ]
-    assert find_group(engines, zone) == group
+    assert find_scheduling_group(engines, zone) == group
 
 
 def test_all_hosts_find_one_scheduler_and_another_where_it_is_gone():
@@ -343,7 +347,7 @@
     assert find_scheduler([], "s", "a") is None
     slow = [Member(f"h{n}", f"ip{n}", "a", 10.0) for n in range(9)]
     assert find_scheduler([*slow, Member("fast", "ip", "a", 200.0)], "s", "a").host == "fast"
-    assert (is_large(16), is_large(17)) == (False, True)
+    assert (is_large_fleet(16), is_large_fleet(17)) == (False, True)
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -9,15 +9,15 @@
 from bench.capacity import LOADS, POLICIES, play
 from swifttrestle.errors import BadEntryError, FrameError
 from swifttrestle.internal.policy.capacity import (
-    LOWER_FACTOR,
-    REMEMBER_SECONDS,
-    LastingCapacity,
-    NeedMemory,
-    ReservedCapacity,
-    StandingCapacity,
+    PEAK_WINDOW_SECONDS,
+    SCALE_DOWN_FACTOR,
+    NonReclaimableCapacity,
+    PeakNeed,
+    UnchangedCapacity,
+    ZoneRedundantCapacity,
     ZoneUpstreams,
-    choose_policy,
-    count_lasting_through,
+    choose_capacity_policy,
+    count_after_zone_loss,
     estimate_need,
 )
 from swifttrestle.internal.protocol.listings import (
@@ -50,19 +50,19 @@
 @pytest.mark.parametrize(
     ("price", "zones", "policy"),
     [
-        (0.15, 3, ReservedCapacity),
-        (0.15, 2, ReservedCapacity),
-        (0.6, 3, ReservedCapacity),
+        (0.15, 3, ZoneRedundantCapacity),
+        (0.15, 2, ZoneRedundantCapacity),
+        (0.6, 3, ZoneRedundantCapacity),
         # With the reserve for a zone they would cost as much as lasting ones.
-        (0.7, 3, LastingCapacity),
-        (1.0, 3, LastingCapacity),
-        (1.5, 3, LastingCapacity),
+        (0.7, 3, NonReclaimableCapacity),
+        (1.0, 3, NonReclaimableCapacity),
+        (1.5, 3, NonReclaimableCapacity),
         # A single zone's would all go at once.
-        (0.15, 1, LastingCapacity),
+        (0.15, 1, NonReclaimableCapacity),
     ],
 )
 def test_prices_and_zones_decide_which_kinds_are_ordered(price, zones, policy):
-    assert isinstance(choose_policy(make_scaling(price), zones), policy)
+    assert isinstance(choose_capacity_policy(make_scaling(price), zones), policy)
 
 
 @pytest.mark.parametrize(
@@ -83,13 +83,15 @@
 def test_reclaimable_upstreams_stand_with_a_reserve_for_a_zone(
     need, lasting, reclaimable, dry, wanted
 ):
-    plans = ReservedCapacity().plan(make_scaling(), make_zones(lasting, reclaimable, dry), need)
+    plans = ZoneRedundantCapacity().plan(
+        make_scaling(), make_zones(lasting, reclaimable, dry), need
+    )
     assert [(item.lasting, item.reclaimable) for item in plans] == wanted
 
 
 def test_what_stands_bounds_an_order_where_the_platform_counts_it():
-    zones = [ZoneUpstreams(zone, 10, 0, counts_standing=True) for zone in ZONES]
-    plans = ReservedCapacity().plan(make_scaling(), zones, 30)
+    zones = [ZoneUpstreams(zone, 10, 0, limit_includes_existing=True) for zone in ZONES]
+    plans = ZoneRedundantCapacity().plan(make_scaling(), zones, 30)
     assert [(item.lasting, item.reclaimable) for item in plans] == [(10, 9)] * 3
 
 
@@ -101,18 +103,18 @@
     need, lasting, reclaimable, most
 ):
     zones = make_zones(lasting, reclaimable)
-    plans = ReservedCapacity().plan(make_scaling(most=most), zones, need)
+    plans = ZoneRedundantCapacity().plan(make_scaling(most=most), zones, need)
     left = sum(min(plan.lasting, here.lasting) for plan, here in zip(plans, zones, strict=True))
     serving = left + sum(reclaimable) - max(reclaimable)
     # What serves through the loss of a zone does not fall under the need by the plan's doing.
-    assert serving >= min(need, count_lasting_through(zones))
+    assert serving >= min(need, count_after_zone_loss(zones))
 
 
 @given(need=st.integers(0, 30))
 def test_a_settled_plan_holds_the_need_without_any_one_zone(need):
     zones = make_zones((1, 1, 1), (19, 19, 19))
-    plans = ReservedCapacity().plan(make_scaling(most=100), zones, need)
-    assert count_lasting_through(plans) >= need
+    plans = ZoneRedundantCapacity().plan(make_scaling(most=100), zones, need)
+    assert count_after_zone_loss(plans) >= need
 
 
 @pytest.mark.parametrize(
@@ -120,13 +122,13 @@
 )
 def test_lasting_upstreams_alone_are_spread_and_cheap_zones_take_what_is_over(need, least, wanted):
     zones = make_zones((10, 10, 9), (0, 0, 0))
-    plans = LastingCapacity().plan(make_scaling(1.0, least), zones, need)
+    plans = NonReclaimableCapacity().plan(make_scaling(1.0, least), zones, need)
     assert [item.lasting for item in plans] == wanted
     assert all(item.reclaimable == 0 for item in plans)
 
 
 def test_all_as_it_stands_changes_nothing():
-    plans = StandingCapacity().plan(make_scaling(), make_zones((3, 2, 1), (0, 4, 0)), 99)
+    plans = UnchangedCapacity().plan(make_scaling(), make_zones((3, 2, 1), (0, 4, 0)), 99)
     assert [(item.lasting, item.reclaimable) for item in plans] == [(3, 0), (2, 4), (1, 0)]
 
 
@@ -167,16 +169,16 @@
         # The first need, what stood, counts for a minute; a higher one at once.
         ([(0, 29), (1, 12)], 29),
         ([(0, 29), (1, 33)], 33),
-        ([(0, 29), (REMEMBER_SECONDS + 1, 12)], 12),
+        ([(0, 29), (PEAK_WINDOW_SECONDS + 1, 12)], 12),
         # The highest swing of the last minute stands until the next one.
-        ([(0, 5), (10, 20), (30, 8), (10 + REMEMBER_SECONDS, 8)], 20),
+        ([(0, 5), (10, 20), (30, 8), (10 + PEAK_WINDOW_SECONDS, 8)], 20),
         # A little less is no reason to give up what is warm.
-        ([(0, 20), (REMEMBER_SECONDS + 1, 17)], 20),
-        ([(0, 20), (REMEMBER_SECONDS + 1, int(20 / LOWER_FACTOR) - 1)], 15),
+        ([(0, 20), (PEAK_WINDOW_SECONDS + 1, 17)], 20),
+        ([(0, 20), (PEAK_WINDOW_SECONDS + 1, int(20 / SCALE_DOWN_FACTOR) - 1)], 15),
     ],
 )
 def test_the_highest_need_of_the_last_minute_is_planned_for(needs, wanted):
-    memory = NeedMemory()
+    memory = PeakNeed()
     for at, need in needs:
         planned = memory.note(need, at)
     assert planned == wanted
@@ -274,8 +276,8 @@
 def test_dear_reclaimable_upstreams_are_not_ordered_since_the_reserve_costs_more():
     load = next(load for load in LOADS if load.reclaimable_price > 0.5)
     scaling = make_scaling(load.reclaimable_price)
-    reserved = play(load, ReservedCapacity())
-    assert play(load, choose_policy(scaling, 3)).price < 0.8 * reserved.price
+    reserved = play(load, ZoneRedundantCapacity())
+    assert play(load, choose_capacity_policy(scaling, 3)).price < 0.8 * reserved.price
 
 
 def test_a_zones_worth_of_new_upstreams_fits_one_datagram():
--- a/tests/cover/test_entry_guard.py
+++ b/tests/cover/test_entry_guard.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.entry import crash_guard
 from swifttrestle.internal.entry.crash_guard import EntryCrashGuard, name_call
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.quarantine import CRASHES_TO_QUARANTINE, FIRST_SECONDS
+from swifttrestle.internal.policy.quarantine import CRASHES_TO_QUARANTINE, FIRST_QUARANTINE_SECONDS
 from tests.common.fakes import FakeClock
 
 NAME = name_call("w1", "/v1/chat/completions", b"{}")
@@ -48,7 +48,7 @@
         with pytest.raises(RefusedError) as refusal:
             act(request_id)
         assert refusal.value.code is Code.QUARANTINED
-        assert refusal.value.retry_after >= FIRST_SECONDS
+        assert refusal.value.retry_after >= FIRST_QUARANTINE_SECONDS
     assert guard.list_names() == [str(NAME)]
 
 
--- a/tests/cover/test_fetching.py
+++ b/tests/cover/test_fetching.py
@@ -7,7 +7,7 @@
 import pytest
 
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.forward.reading import find_source_address
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.fetching import list_sources, plan_fetch
@@ -112,7 +112,7 @@
             fleet.put(UpstreamRecord(name, "s", (name, 1), "a", 40, False, Role.PREFILL))
         fleet.put(UpstreamRecord("d", "s", ("d", 1), "a", 40, False, Role.DECODE))
         fleet.traits["s"] = TRAITS
-        parts = Parts("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
+        parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
         await act(parts, LocalBooker(parts))
 
     asyncio.run(whole())
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -13,7 +13,7 @@
 )
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
 from swifttrestle.internal.forward.gateway_state import RetryBudgets
-from swifttrestle.internal.policy.placement import pick_decoder, pick_plain, pick_reader
+from swifttrestle.internal.policy.placement import pick_decoder, pick_plain, pick_prefill_engine
 from swifttrestle.internal.policy.queueing import AdmissionQueue
 from swifttrestle.internal.policy.retry_window import WindowedRetryBudget
 from swifttrestle.internal.policy.role_split import count_decoders, find_best_count, plan_change
@@ -134,19 +134,19 @@
 
 def test_a_prompt_goes_to_the_engine_of_its_shared_part_unless_another_is_sooner():
     readers = [make_instance(f"p{n}", Role.PREFILL) for n in range(4)]
-    chosen = pick_reader(readers, 9000, "part", (), 0.0, 1.0)
-    assert all(pick_reader(readers, 9000, "part", (), 0.0, 1.0) is chosen for _ in range(5))
+    chosen = pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0)
+    assert all(pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0) is chosen for _ in range(5))
     chosen.peers = OpenWork(20_000, 2)
-    other = pick_reader(readers, 9000, "part", (), 0.0, 1.0)
+    other = pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0)
     assert other is not chosen
-    assert pick_reader([chosen], 9000, "part", (), 0.0, 0.1) is None
+    assert pick_prefill_engine([chosen], 9000, "part", (), 0.0, 0.1) is None
 
 
 def test_a_decoding_engine_reads_long_prompts_only_while_it_makes_few_tokens():
     decoder = make_instance("d", Role.DECODE)
-    assert pick_reader([decoder], 9000, "part", (), 0.0, 1.0) is decoder
+    assert pick_prefill_engine([decoder], 9000, "part", (), 0.0, 1.0) is decoder
     decoder.peers = OpenWork(0, 1)
-    assert pick_reader([decoder], 9000, "part", (), 0.0, 1.0) is None
+    assert pick_prefill_engine([decoder], 9000, "part", (), 0.0, 1.0) is None
 
 
 def test_an_engines_speed_is_learned_from_what_it_read():
--- a/tests/cover/test_homes.py
+++ b/tests/cover/test_homes.py
@@ -16,10 +16,14 @@
 from swifttrestle.errors import InvalidSettingError
 from swifttrestle.internal.forward import scheduled_booking
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
-from swifttrestle.internal.forward.scheduled_booking import SharedBooker
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
+from swifttrestle.internal.forward.scheduled_booking import ScheduledBooker
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.home_zones import list_homes, rank_zones, weigh_zones
+from swifttrestle.internal.policy.home_zones import (
+    count_engines_by_zone,
+    list_home_zones,
+    rank_zones,
+)
 from swifttrestle.internal.policy.scheduling import find_scheduler
 from swifttrestle.internal.protocol.bookings import Ask
 from swifttrestle.internal.state.bookings import Booking, BookingRequest
@@ -55,7 +59,7 @@
     ],
 )
 def test_only_a_long_shared_part_takes_a_prompt_from_its_callers_zone(parts, weights, homes):
-    assert list_homes(parts, weights, PACE, "near") == homes
+    assert list_home_zones(parts, weights, PACE, "near") == homes
 
 
 def count_homes(weights, parts=6000):
@@ -93,7 +97,7 @@
         for zone, count in (("a", 4), ("b", 3), ("c", 6))
         for n in range(count)
     ]
-    assert weigh_zones(engines, ("a", "b")) == {"a": 4}
+    assert count_engines_by_zone(engines, ("a", "b")) == {"a": 4}
 
 
 def test_homes_stay_in_the_region_of_the_host():
@@ -136,8 +140,8 @@
                 fleet.put(UpstreamRecord(f"{zone}{n}", "s", address, zone, 16, False, role))
         budgets = RetryBudgets(0.2, 50, 10)
         self.member = member
-        self.parts = Parts(member.zone, fleet, budgets, Metrics(), random.Random(1))
-        self.booker = SharedBooker(
+        self.parts = GatewayState(member.zone, fleet, budgets, Metrics(), random.Random(1))
+        self.booker = ScheduledBooker(
             LocalBooker(self.parts),
             self.parts,
             network.socket(member.ip),
@@ -152,7 +156,7 @@
 
 
 def run_hosts(act, monkeypatch, answer_seconds=30.0):
-    monkeypatch.setattr(scheduled_booking, "is_large", lambda _: True)
+    monkeypatch.setattr(scheduled_booking, "is_large_fleet", lambda _: True)
     monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", answer_seconds)
 
     async def whole():
--- a/tests/cover/test_kept_parts.py
+++ b/tests/cover/test_kept_parts.py
@@ -37,7 +37,7 @@
         read_kept_parts(body)
 
 
-def run_loader(answer, books=True, engines=1, pieces=1):
+def run_loader(answer, schedules_engines=True, engines=1, pieces=1):
     """Load from engines that answer these bytes, in pieces with a pause of 0.2 s between them.
 
     Return the fleet and the calls that the engines got.
@@ -62,7 +62,9 @@
             record = UpstreamRecord(f"e{number}", "s", address, "a", 40, False, Role.PREFILL)
             fleet.put(record)
         fleet.put(UpstreamRecord("plain", "t", address, "a", 40, False))
-        loader = KeptPartsLoader("a", fleet, ConnectionPool(), lambda: books, random.Random(1))
+        loader = KeptPartsLoader(
+            "a", fleet, ConnectionPool(), lambda: schedules_engines, random.Random(1)
+        )
         async with asyncio.timeout(20):
             await loader.run()
         server.close()
@@ -101,7 +103,7 @@
 
 
 def test_a_host_for_which_others_book_asks_nobody():
-    assert run_loader(frame(200, LIST), books=False)[1] == []
+    assert run_loader(frame(200, LIST), schedules_engines=False)[1] == []
 
 
 def test_no_host_asks_all_engines_of_a_large_fleet():
--- a/tests/cover/test_policies.py
+++ b/tests/cover/test_policies.py
@@ -13,7 +13,12 @@
 from swifttrestle.internal.policy.admission import DeadlineAdmission, Decision
 from swifttrestle.internal.policy.ejection import FAILURES_TO_EJECT, Ejector
 from swifttrestle.internal.policy.retry_budget import RetryBudget
-from swifttrestle.internal.policy.routing import Candidate, LeastPredicted, LeastReported, Work
+from swifttrestle.internal.policy.routing import (
+    Candidate,
+    LeastPredicted,
+    LeastReported,
+    RequestEstimate,
+)
 from swifttrestle.internal.protocol.peers import ShardCopy
 from swifttrestle.internal.protocol.platform import StoredObject
 from swifttrestle.internal.state.closings import (
@@ -45,7 +50,7 @@
     ],
 )
 def test_admission_goes_waits_or_refuses(inflight, priority, left, ahead, decision):
-    work = Work(100, 10, priority)
+    work = RequestEstimate(100, 10, priority)
     admission = DeadlineAdmission(0.2)
     judged = admission.decide([make_candidate(inflight=inflight)], work, left, ahead, 5)
     assert judged.decision is decision
@@ -54,7 +59,7 @@
 
 
 def test_routing_goes_where_the_prefix_is_unless_the_queue_is_longer():
-    work = Work(4000, 10)
+    work = RequestEstimate(4000, 10)
     cached = make_candidate("cached", cached_tokens=3900)
     empty = make_candidate("empty")
     rng = random.Random(1)
@@ -65,13 +70,18 @@
 
 def test_routing_prefers_the_faster_engine():
     old, new = make_candidate("old", prefill_rate=1000), make_candidate("new", prefill_rate=9000)
-    assert LeastPredicted().pick([old, new], Work(4000, 1), random.Random(1)) is new
+    assert LeastPredicted().pick([old, new], RequestEstimate(4000, 1), random.Random(1)) is new
 
 
 def test_entries_that_see_one_old_report_do_not_all_choose_the_same():
     idle = [make_candidate(f"c{n}", inflight=n / 10, reported_inflight=n / 10) for n in range(10)]
-    chosen = {LeastPredicted().pick(idle, Work(10, 10), random.Random(n)).name for n in range(8)}
-    herd = {LeastReported().pick(idle, Work(10, 10), random.Random(n)).name for n in range(8)}
+    chosen = {
+        LeastPredicted().pick(idle, RequestEstimate(10, 10), random.Random(n)).name
+        for n in range(8)
+    }
+    herd = {
+        LeastReported().pick(idle, RequestEstimate(10, 10), random.Random(n)).name for n in range(8)
+    }
     assert len(herd) == 1
     assert len(chosen) >= 3
 
@@ -89,9 +99,9 @@
     for name in group:
         for _ in range(FAILURES_TO_EJECT):
             ejector.note_failure(name, group, 100.0)
-    out = [name for name in group if ejector.is_out(name, 101.0)]
+    out = [name for name in group if ejector.is_ejected(name, 101.0)]
     assert len(out) == 2
-    assert not ejector.is_out(out[0], 102.5)
+    assert not ejector.is_ejected(out[0], 102.5)
     assert ejector.share(out[0], 103.0) == pytest.approx(0.1)
     assert ejector.share(out[0], 107.0) == pytest.approx(0.5)
     assert ejector.share(out[0], 200.0) == 1.0
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -6,9 +6,9 @@
 import pytest
 
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.placement import pick_reader
+from swifttrestle.internal.policy.placement import pick_prefill_engine
 from swifttrestle.internal.protocol.bookings import Ask, Grant, pack_message, unpack_message
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
 from swifttrestle.internal.state.bookings import BookingRequest, Outcome, Stage
@@ -87,7 +87,7 @@
         make_reader("keeper", open_tokens, (SYSTEM, DOCUMENT)),
         make_reader("idle", 0, (SYSTEM,)),
     ]
-    chosen = pick_reader(readers, 9000, "document", (), 0.0, 1.0, PROMPT)
+    chosen = pick_prefill_engine(readers, 9000, "document", (), 0.0, 1.0, PROMPT)
     assert chosen.name == expected
 
 
@@ -95,8 +95,8 @@
     busy = make_reader("keeper", 5000, (SYSTEM, DOCUMENT))
     stranger = make_reader("stranger", 5000)
     # 5,000 tokens are 50 ms: more than the wait allowed, less than with the 60 ms saved.
-    assert pick_reader([busy], 9000, "document", (), 0.0, 0.01, PROMPT) is busy
-    assert pick_reader([stranger], 9000, "document", (), 0.0, 0.01, PROMPT) is None
+    assert pick_prefill_engine([busy], 9000, "document", (), 0.0, 0.01, PROMPT) is busy
+    assert pick_prefill_engine([stranger], 9000, "document", (), 0.0, 0.01, PROMPT) is None
 
 
 def make_booker():
@@ -104,7 +104,7 @@
     for name, role in (("p", Role.PREFILL), ("d", Role.DECODE)):
         fleet.put(UpstreamRecord(name, "s", ("127.0.0.1", 1), "a", 40, False, role))
     fleet.traits["s"] = EngineTraits(40, 200_000, 100_000.0, 1e11, 5.0, 0.2)
-    parts = Parts("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
+    parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
     return parts, LocalBooker(parts)
 
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.policy.hash_ring import KEEPERS, KeeperRing
+from swifttrestle.internal.policy.hash_ring import KEEPERS, HashRing
 from swifttrestle.internal.policy.quarantine import (
+    CRASH_RETENTION_SECONDS,
     CRASHES_TO_QUARANTINE,
-    FIRST_SECONDS,
-    FORGET_SECONDS,
+    FIRST_QUARANTINE_SECONDS,
     LONG_SECONDS,
     MOST_ACQUITTALS,
     MOST_CASES,
@@ -58,13 +58,13 @@
     [
         ([], 0),
         ([0.0], 0),
-        ([0.0, 0.1], FIRST_SECONDS),
+        ([0.0, 0.1], FIRST_QUARANTINE_SECONDS),
         # Copies that were under way, or went out from a host that did not know yet.
-        ([0.0, 0.1, 0.2, 0.6], FIRST_SECONDS),
+        ([0.0, 0.1, 0.2, 0.6], FIRST_QUARANTINE_SECONDS),
         # The copy that was tried next.
-        ([0.0, 0.1, 0.1 + FIRST_SECONDS], LONG_SECONDS),
-        ([0.0, 0.1, 3.0, 0.2 + FIRST_SECONDS], LONG_SECONDS),
-        ([0.0, 0.1, 0.2 + FIRST_SECONDS, 0.3 + FIRST_SECONDS], LONG_SECONDS),
+        ([0.0, 0.1, 0.1 + FIRST_QUARANTINE_SECONDS], LONG_SECONDS),
+        ([0.0, 0.1, 3.0, 0.2 + FIRST_QUARANTINE_SECONDS], LONG_SECONDS),
+        ([0.0, 0.1, 0.2 + FIRST_QUARANTINE_SECONDS, 0.3 + FIRST_QUARANTINE_SECONDS], LONG_SECONDS),
     ],
 )
 def test_a_request_is_kept_back_longer_where_the_copy_that_was_tried_crashed_too(times, seconds):
@@ -102,12 +102,12 @@
     quarantine = make_quarantine(2)
     for later in (NOW + 2, NOW + 60):
         assert not quarantine.note(make_name(), make_crashes(2, later), later)
-    assert quarantine.find_wait(make_name(), NOW) == FIRST_SECONDS
+    assert quarantine.find_wait(make_name(), NOW) == FIRST_QUARANTINE_SECONDS
 
 
 def test_the_next_crash_after_a_long_quarantine_is_one_too_many():
     quarantine = make_quarantine(2)
-    tried = NOW + FIRST_SECONDS
+    tried = NOW + FIRST_QUARANTINE_SECONDS
     quarantine.note(make_name(), [Crash("i-8", tried)], tried)
     later = tried + LONG_SECONDS * (1 + SPREAD)
     quarantine.expire(later)
@@ -117,13 +117,15 @@
 
 def test_hosts_let_a_request_go_at_different_moments():
     waits = {make_quarantine(2, late=share).find_wait(make_name(), NOW) for share in (0, 0.5, 1)}
-    assert sorted(waits) == [FIRST_SECONDS * factor for factor in (1, 1 + SPREAD / 2, 1 + SPREAD)]
+    assert sorted(waits) == [
+        FIRST_QUARANTINE_SECONDS * factor for factor in (1, 1 + SPREAD / 2, 1 + SPREAD)
+    ]
 
 
 @pytest.mark.parametrize("crashes", [1, 2, 3])
 def test_its_own_answer_acquits_a_request_of_all_crashes_before_it(crashes):
     quarantine = make_quarantine(crashes)
-    assert quarantine.acquit(make_name(), NOW + 0.1)
+    assert quarantine.clear_crashes(make_name(), NOW + 0.1)
     assert quarantine.find_wait(make_name(), NOW + 0.1) == 0
     assert (len(quarantine), quarantine.list_quarantined()) == (0, [])
     # Words of those crashes may still come in from others.
@@ -134,27 +136,27 @@
 def test_an_answer_does_not_acquit_of_a_crash_after_it():
     quarantine = make_quarantine()
     quarantine.note(make_name(), [Crash("a", NOW), Crash("b", NOW + 2)], NOW + 2)
-    assert quarantine.acquit(make_name(), NOW + 1)
+    assert quarantine.clear_crashes(make_name(), NOW + 1)
     assert [crash.start for crash in quarantine.find(make_name()).crashes] == ["b"]
     assert quarantine.list_quarantined() == []
 
 
 def test_what_is_long_past_is_forgotten():
     quarantine = make_quarantine(3)
-    quarantine.expire(NOW + FORGET_SECONDS)
+    quarantine.expire(NOW + CRASH_RETENTION_SECONDS)
     assert (len(quarantine), quarantine.knows_head(make_name().head)) == (0, False)
-    assert not quarantine.note(make_name(), make_crashes(3), NOW + FORGET_SECONDS)
+    assert not quarantine.note(make_name(), make_crashes(3), NOW + CRASH_RETENTION_SECONDS)
 
 
 def test_a_caller_that_sends_ever_new_deadly_requests_fills_no_host():
     quarantine = make_quarantine(3, make_name(10**6))
     for number in range(2 * MOST_CASES):
         quarantine.note(make_name(number, head=number % 7), make_crashes(1), NOW + number)
-        quarantine.acquit(make_name(number, head=9), NOW)
+        quarantine.clear_crashes(make_name(number, head=9), NOW)
     assert len(quarantine) <= MOST_CASES
     assert len(quarantine._acquitted) <= MOST_ACQUITTALS
     # Those under which the most upstreams crashed are kept.
-    assert quarantine.find_wait(make_name(10**6), NOW) == FIRST_SECONDS
+    assert quarantine.find_wait(make_name(10**6), NOW) == FIRST_QUARANTINE_SECONDS
     assert sum(quarantine._heads.values()) == len(quarantine)
 
 
@@ -288,20 +290,20 @@
     shuffled = random.Random(1).sample(members, len(members))
     for number in range(50):
         name = name_of(chunks=(str(number).encode(),))
-        keepers = KeeperRing(members).find(name)
-        assert keepers == KeeperRing(shuffled).find(name)
+        keepers = HashRing(members).find(name)
+        assert keepers == HashRing(shuffled).find(name)
         assert len(set(keepers)) == min(KEEPERS, hosts)
 
 
 def test_nobody_keeps_anything_without_members():
-    assert KeeperRing(()).find(make_name()) == []
+    assert HashRing(()).find(make_name()) == []
 
 
 def test_a_keeper_that_is_lost_leaves_the_other_one():
     members = make_members(195)
     name = name_of()
-    first, second = KeeperRing(members).find(name)
-    assert KeeperRing([item for item in members if item != first]).find(name)[0] == second
+    first, second = HashRing(members).find(name)
+    assert HashRing([item for item in members if item != first]).find(name)[0] == second
 
 
 def test_quarantined_is_what_crashed_upstreams_often_enough():
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -17,8 +17,8 @@
 )
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.quarantine import FIRST_SECONDS, Quarantine
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.quarantine import FIRST_QUARANTINE_SECONDS, Quarantine
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.state.crash_records import Crash
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.request_fingerprints import RequestName
@@ -83,7 +83,7 @@
 
     def see_crash(self, names, start):
         """Take over that an upstream ended, as a look at its address tells it."""
-        self.guard.take_crash(names, Crash(start, now()))
+        self.guard.report_crash(names, Crash(start, now()))
 
     def refuses(self, name):
         return self.guard.quarantine.find_wait(name, now()) > 0
@@ -199,7 +199,7 @@
             for number in range(2):
                 hosts[0].see_crash([make_name()], f"i-{number}")
             await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
-            hosts[-1].guard.acquit(make_name())
+            hosts[-1].guard.clear_crashes(make_name())
             return await wait_for(lambda: not any(host.refuses(make_name()) for host in hosts))
 
         seconds = await with_relays(hosts, story())
@@ -222,7 +222,7 @@
             await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
             await asyncio.sleep((quarantine_relay.TOLD_AGAIN + 1) * PUSH_SECONDS)
             network.lost_share = 0.5
-            hosts[-1].guard.acquit(make_name())
+            hosts[-1].guard.clear_crashes(make_name())
             await asyncio.sleep(0.1)
             network.lost_share = 0.0
             missed = sum(host.refuses(make_name()) for host in hosts)
@@ -245,7 +245,7 @@
         for number in range(48):
             hosts[number % count].see_crash([make_name(number)], "i-0")
         await asyncio.sleep(1.0)
-        return network.sent, is_large(count)
+        return network.sent, is_large_fleet(count)
 
     sent, large = run_in_virtual_time(work())
     assert sent <= (DATAGRAMS_PER_CRASH if large else 48 * (count - 1))
@@ -281,7 +281,7 @@
             for number in range(200):
                 for start in ("i-7f3a91c2aa@1764720000000", "i-02d9e6b4bb@1764720000000"):
                     hosts[0].see_crash([make_name(number)], start)
-            await asyncio.sleep(FIRST_SECONDS / 2)
+            await asyncio.sleep(FIRST_QUARANTINE_SECONDS / 2)
             before = network.bytes
             await asyncio.sleep(4.0)
             return (network.bytes - before) / 4.0 / len(hosts)
--- a/tests/cover/test_rate_limits.py
+++ b/tests/cover/test_rate_limits.py
@@ -16,8 +16,8 @@
 from swifttrestle.internal.policy.rate_limits import (
     LONGEST_PAUSE,
     MOST_AT_ONCE,
-    RateBucket,
-    find_keepers,
+    TokenBucket,
+    find_owners,
 )
 from swifttrestle.internal.state.members import Member
 
@@ -62,7 +62,7 @@
 
 
 def test_an_urgent_request_finds_what_the_others_leave():
-    bucket = RateBucket(0.0)
+    bucket = TokenBucket(0.0)
     while not bucket.take(2.0, False, 10.0):
         pass
     assert bucket.take(2.0, True, 10.0) == 0.0
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize(("at", "count"), [(0.0, 0), (0.5, 1), (1.0, 2), (100.0, MOST_AT_ONCE)])
 def test_a_bucket_begins_empty_and_holds_a_few_at_most(at, count):
-    bucket = RateBucket(0.0)
+    bucket = TokenBucket(0.0)
     taken = 0
     while bucket.take(2.0, True, at) == 0.0:
         taken += 1
@@ -79,7 +79,7 @@
 
 
 def test_those_who_are_turned_away_come_back_one_after_another_and_soon():
-    bucket = RateBucket(0.0)
+    bucket = TokenBucket(0.0)
     pauses = [bucket.take(4.0, True, 0.0) for _ in range(20)]
     assert pauses[:3] == [0.25, 0.5, 0.75]
     assert max(pauses) == LONGEST_PAUSE
@@ -87,8 +87,8 @@
 
 def test_the_keepers_are_near_the_upstream_and_on_fast_links():
     members = [Member(f"h{n}", f"10.0.0.{n}", "ab"[n % 2], 10.0 * (n // 4)) for n in range(8)]
-    keepers = find_keepers(members, "e1", "a")
+    keepers = find_owners(members, "e1", "a")
     assert {item.zone for item in keepers} == {"a"}
     assert {item.link_mbps for item in keepers} == {10.0}
-    assert len(find_keepers(members, "e1", "nowhere")) == 2
-    assert find_keepers([], "e1", "a") == []
+    assert len(find_owners(members, "e1", "nowhere")) == 2
+    assert find_owners([], "e1", "a") == []
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -7,7 +7,7 @@
 from swifttrestle.errors import BadEntryError, FrameError
 from swifttrestle.internal.coordination import freshness_monitor
 from swifttrestle.internal.policy import revocation
-from swifttrestle.internal.policy.revocation import Verdict, judge_key
+from swifttrestle.internal.policy.revocation import Verdict, check_key
 from swifttrestle.internal.protocol.freshness import (
     BeliefAnswer,
     BeliefQuestion,
@@ -44,7 +44,7 @@
     ],
 )
 def test_a_key_is_judged_by_what_is_known_and_by_how_old_that_is(known, age, bound, wanted):
-    assert judge_key(known, age, bound) is wanted
+    assert check_key(known, age, bound) is wanted
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
     def takes_key(self, now):
         """Return whether a request with the key that version 2 takes away is served."""
         age = self.clock(now) - self.belief.confirmed_at
-        return judge_key(self.version < 2, age, BOUND) is Verdict.ALLOWED
+        return check_key(self.version < 2, age, BOUND) is Verdict.ALLOWED
 
 
 class Store:
--- a/tests/cover/test_role_delay.py
+++ b/tests/cover/test_role_delay.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from swifttrestle.internal.policy.role_delay import RoleDelay
+from swifttrestle.internal.policy.role_delay import RoleChangeDelay
 from swifttrestle.internal.policy.role_split import RoleChange, plan_change
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.demand import Demand
@@ -37,14 +37,14 @@
     ],
 )
 def test_a_change_is_ordered_once_it_has_been_wanted_for_as_long_as_it_takes(looks, allowed):
-    delay = RoleDelay()
+    delay = RoleChangeDelay()
     found = [delay.allows("s", change, SECONDS, at) for at, change in looks]
     assert found[-1] is allowed
     assert not any(found[:-1])
 
 
 def test_the_engines_of_one_service_do_not_hold_those_of_another_up():
-    delay = RoleDelay()
+    delay = RoleChangeDelay()
     delay.allows("s", READ, SECONDS, 0.0)
     assert not delay.allows("t", READ, SECONDS, 3.0)
     assert delay.allows("s", READ, SECONDS, 3.0)
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from swifttrestle.internal.coordination.role_orders import OrderedRoles
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.fetching import list_sources
 from swifttrestle.internal.protocol.listings import ListingChanges, pack_changes, unpack_changes
@@ -119,7 +119,7 @@
     async def story():
         fleet = Fleet()
         budgets = RetryBudgets(0.2, 10, 10)
-        parts = Parts("a", fleet, budgets, Metrics(), random.Random(1))
+        parts = GatewayState("a", fleet, budgets, Metrics(), random.Random(1))
         broken = []
         parts.pool.break_off = broken.append
         fleet.put(FIRST)
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -16,7 +16,7 @@
 )
 from swifttrestle.internal.forward import crashes
 from swifttrestle.internal.policy import revocation
-from swifttrestle.internal.policy.backoff import find_longest
+from swifttrestle.internal.policy.backoff import find_max_backoff
 from swifttrestle.internal.state import peers
 from swifttrestle.internal.transport import pool
 from swifttrestle.platform import store
@@ -42,8 +42,8 @@
 # Seconds after the third crash of a request from which on it may reach few upstreams more.
 KEPT_BACK = 3.0
 
-FIRST_PAUSE = find_longest(discovery.FIRST_PAUSE)
-LONGEST_PAUSE = find_longest(discovery.LONGEST_PAUSE)
+FIRST_PAUSE = find_max_backoff(discovery.FIRST_PAUSE)
+LONGEST_PAUSE = find_max_backoff(discovery.LONGEST_PAUSE)
 LIST = pool.CONNECT_SECONDS + SLOW_STORE
 HEARTBEAT = gossip.HEARTBEAT_SECONDS * 1.1
 # A host notices that the store answers again: its last vain call, its pause, its next call.
--- a/tests/cover/test_usage.py
+++ b/tests/cover/test_usage.py
@@ -6,10 +6,10 @@
 
 from swifttrestle.errors import BadEntryError, FrameError
 from swifttrestle.internal.policy.usage_windows import (
-    GATHER_SECONDS,
-    GIVE_UP_SECONDS,
+    COLLECT_SECONDS,
+    REPORT_DEADLINE_SECONDS,
     list_due_windows,
-    list_open_reports,
+    list_unacknowledged_reports,
 )
 from swifttrestle.internal.protocol.usage import (
     WORKSPACES_PER_PART,
@@ -43,15 +43,15 @@
     [
         ([10], [], END, []),
         # Late counts come in first.
-        ([10], [], END + GATHER_SECONDS - 0.1, []),
-        ([10], [], END + GATHER_SECONDS, [10]),
-        ([8, 9, 10], [8], END + GATHER_SECONDS, [9, 10]),
+        ([10], [], END + COLLECT_SECONDS - 0.1, []),
+        ([10], [], END + COLLECT_SECONDS, [10]),
+        ([8, 9, 10], [8], END + COLLECT_SECONDS, [9, 10]),
         # A window without a request since the last report is reported too.
-        ([], [8], END + GATHER_SECONDS, [9, 10]),
-        ([], [], END + GATHER_SECONDS, []),
+        ([], [8], END + COLLECT_SECONDS, [9, 10]),
+        ([], [], END + COLLECT_SECONDS, []),
         # What is long past is not taken any more.
-        ([1, 10], [], END + GATHER_SECONDS, [10]),
-        ([], [1], END + GIVE_UP_SECONDS, [11, 12, 13, 14, 15]),
+        ([1, 10], [], END + COLLECT_SECONDS, [10]),
+        ([], [1], END + REPORT_DEADLINE_SECONDS, [11, 12, 13, 14, 15]),
     ],
 )
 def test_windows_are_due_once_their_counts_are_in(counted, written, now, wanted):
@@ -61,7 +61,7 @@
 
 def test_what_was_not_acknowledged_is_sent_again():
     first, second = RecordedUsage(1, {"a": 1}, taken=True), RecordedUsage(2, {"a": 2})
-    assert list_open_reports([first, second]) == [second]
+    assert list_unacknowledged_reports([first, second]) == [second]
 
 
 def test_counts_rise_whatever_words_are_lost_doubled_or_late():
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -8,10 +8,10 @@
 import pytest
 
 from swifttrestle.internal.forward.booking import LocalBooker
-from swifttrestle.internal.forward.gateway_state import Parts, RetryBudgets
+from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.forward.turns import TurnPredictor
 from swifttrestle.internal.metrics import Metrics
-from swifttrestle.internal.policy.placement import pick_reader
+from swifttrestle.internal.policy.placement import pick_prefill_engine
 from swifttrestle.internal.policy.waiting import Backlog, find_patience, predict_late_turn
 from swifttrestle.internal.protocol.bookings import Ask, pack_message, unpack_message
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom
@@ -75,7 +75,7 @@
 )
 def test_a_prompt_goes_where_it_can_be_in_time(wait, tokens, latest, found):
     readers = [make_reader("p", wait)]
-    chosen = pick_reader(readers, tokens, "part", (), 0.0, 0.5, latest=latest)
+    chosen = pick_prefill_engine(readers, tokens, "part", (), 0.0, 0.5, latest=latest)
     assert (chosen is not None) is found
 
 
@@ -91,7 +91,7 @@
         fleet = Fleet()
         for name, role in (("p", Role.PREFILL), ("d", Role.DECODE)):
             fleet.put(UpstreamRecord(name, "s", (name, 1), "a", 40, False, role))
-        parts = Parts("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
+        parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
         # So many streams that it reads no long prompt itself.
         fleet.instances["d"].own = OpenWork(0, 30)
         await act(parts, LocalBooker(parts), fleet.instances["p"])
@@ -164,7 +164,9 @@
 
 @pytest.mark.parametrize(("hosts", "share"), [(1, 1.0), (9, 1 / 9), (65, 0.5)])
 def test_a_queue_has_its_hosts_share_of_the_engines_or_a_schedulers(hosts, share):
-    parts = Parts("a", Fleet(), RetryBudgets(0.2, 10, 10, hosts=hosts), Metrics(), random.Random(1))
+    parts = GatewayState(
+        "a", Fleet(), RetryBudgets(0.2, 10, 10, hosts=hosts), Metrics(), random.Random(1)
+    )
     readers = [
         Instance(UpstreamRecord(f"{zone}{n}", "s", ("h", 1), zone, 40, False, Role.PREFILL))
         for zone in "ab"
--- a/tests/hosted/test_deadly_requests.py
+++ b/tests/hosted/test_deadly_requests.py
@@ -139,7 +139,7 @@
     answers = await send_again_and_again(site, path, body, headers)
     assert len(site.crashes) <= MOST_CRASHES
     assert answers[-1].status == 503
-    guards = [item._parts.guard for item in gateways]
+    guards = [item._state.guard for item in gateways]
     await wait_until(lambda: all(len(item.quarantine) for item in guards), "known at all hosts")
 
 
@@ -210,7 +210,7 @@
     await tell_starts(site)
     site.allow_crashes(2.0, LATER_START_MS)
     await ask(address_of(site), path, "deadly", body=body, **headers)
-    guards = [item.gateway._parts.guard for item in site.gateways.values()]
+    guards = [item.gateway._state.guard for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.quarantine) for item in guards), "known at all hosts")
     assert len(site.crashes) == 1
     for number, name in enumerate(HOSTS):
@@ -242,7 +242,7 @@
         upstream.seconds = 0.2
     hosts = list(site.gateways)
     await send_again_and_again(site, "/goal/a", DEADLY, {}, attempts=3, hosts=hosts)
-    guards = [item._parts.guard for item in gateways]
+    guards = [item._state.guard for item in gateways]
     await wait_until(
         lambda: all(item.quarantine.list_quarantined() for item in guards), "quarantined"
     )
--- a/tests/hosted/test_innocents.py
+++ b/tests/hosted/test_innocents.py
@@ -25,7 +25,7 @@
 
 
 def find_guard(site, name="g0"):
-    return site.gateways[name].gateway._parts.guard
+    return site.gateways[name].gateway._state.guard
 
 
 def count_quarantined(site):
@@ -152,7 +152,7 @@
     now = asyncio.get_running_loop().time()
     case = Case(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
     for host in HOSTS:
-        find_guard(site, host).take_cases([case], "test")
+        find_guard(site, host).merge_crash_records([case], "test")
     refused = await ask(address_of(site), "/card/a", "early", body=b"same")
     assert (refused.status, refused.retry_after > 1) == (503, True)
     for upstream in site.upstreams.values():
@@ -171,7 +171,7 @@
     name = name_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
     case = Case(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
-    find_guard(site, "g0").take_cases([case], "test")
+    find_guard(site, "g0").merge_crash_records([case], "test")
     for last, status in ((b"e", 503), (b"x", 200)):
         caller = await RawCaller.connect(address_of(site))
         request = write_request("/card/a", f"p{status}", body=b"sam" + last)
@@ -195,7 +195,7 @@
     now = asyncio.get_running_loop().time()
     name = RequestName(bytes(8), bytes(range(8)))
     for number in range(2):
-        find_guard(site, "g1").take_crash([name], Crash(f"i-{number}", now))
+        find_guard(site, "g1").report_crash([name], Crash(f"i-{number}", now))
     await wait_until(lambda: all(count_quarantined(site)), "known")
     assert (await lift(site, f"?name={name}")).status == 200
     await wait_until(lambda: not any(count_quarantined(site)), "lifted")
--- a/tests/hosted/test_kept_quarantine.py
+++ b/tests/hosted/test_kept_quarantine.py
@@ -65,8 +65,8 @@
     assert (await ask(address_of(site), "/card/a", "c1")).status == 200
     now = asyncio.get_running_loop().time()
     crashes = (Crash("i-1", now), Crash("i-2", now))
-    find_guard(site).take_crash([NAME], crashes[0])
-    find_guard(site).take_crash([NAME], crashes[1])
+    find_guard(site).report_crash([NAME], crashes[0])
+    find_guard(site).report_crash([NAME], crashes[1])
     await wait_until(lambda: len(read_requests(site)) == 1, "kept in the store")
     assert read_requests(site)[0]["name"] == GOOD["name"]
 
@@ -88,10 +88,10 @@
     await wait_until(lambda: all(len(item.live_hosts()) == 3 for item in gateways), "all hosts")
     now = asyncio.get_running_loop().time()
     for number in range(2):
-        find_guard(site, f"g{number}").take_crash([NAME], Crash(f"i-{number}", now))
+        find_guard(site, f"g{number}").report_crash([NAME], Crash(f"i-{number}", now))
     await wait_until(lambda: len(read_requests(site)) == 1, "kept")
     await wait_until(lambda: all(count_quarantined(site)), "known")
-    find_guard(site, "g2").acquit(NAME)
+    find_guard(site, "g2").clear_crashes(NAME)
     await wait_until(lambda: not read_requests(site), "acquittal kept")
     # A look and a write for each of the two changes.
     assert len(list_calls(site)) <= 3 + 4
@@ -102,7 +102,7 @@
     now = asyncio.get_running_loop().time()
     names = [RequestName(bytes(8), number.to_bytes(8, "big")) for number in range(MOST_STORED + 50)]
     for number in range(2):
-        find_guard(site).take_crash(names, Crash(f"i-{number}", now))
+        find_guard(site).report_crash(names, Crash(f"i-{number}", now))
     await wait_until(lambda: read_requests(site), "kept")
     assert len(read_requests(site)) == MOST_STORED
 
@@ -113,7 +113,7 @@
     now = asyncio.get_running_loop().time()
     case = Case(NAME, (Crash("i-1", now), Crash("i-2", now)))
     for crash in case.crashes:
-        find_guard(site).take_crash([NAME], crash)
+        find_guard(site).report_crash([NAME], crash)
     await wait_until(lambda: all(count_quarantined(site)), "known")
     await asyncio.sleep(0.2)
     site.store.faults.down = False
--- a/tests/hosted/test_late_words.py
+++ b/tests/hosted/test_late_words.py
@@ -11,7 +11,7 @@
 
 import asyncio
 
-from swifttrestle.internal.policy.quarantine import FIRST_SECONDS, SPREAD
+from swifttrestle.internal.policy.quarantine import FIRST_QUARANTINE_SECONDS, RELEASE_JITTER_SHARE
 from swifttrestle.internal.state.crash_records import Crash
 from swifttrestle.internal.state.request_fingerprints import RequestName
 from swifttrestle_standins.hosted.site import wait_until
@@ -32,7 +32,7 @@
     socket._receivers[5] = lambda data, ip: held.append((data, ip))
     now = asyncio.get_running_loop().time()
     for number in range(2):
-        find_guard(site, "g0").take_crash([NAME], Crash(f"e{number}", now))
+        find_guard(site, "g0").report_crash([NAME], Crash(f"e{number}", now))
     await wait_until(lambda: len(held) >= 2, "words on their way")
     await asyncio.sleep(LATE_SECONDS)
     socket._receivers[5] = receive
@@ -45,4 +45,4 @@
         case = find_guard(site, name).quarantine.find(NAME)
         assert sorted(crash.start for crash in case.crashes) == ["e0", "e1"]
         wait = find_guard(site, name).quarantine.find_wait(NAME, now)
-        assert wait <= FIRST_SECONDS * (1 + SPREAD) + LATE_SECONDS + 1
+        assert wait <= FIRST_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE) + LATE_SECONDS + 1
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -169,7 +169,7 @@
     holders = list_holders()
     assert len(holders) == 1
     before = {
-        name: item.gateway._parts.demand.total("model", asyncio.get_running_loop().time())
+        name: item.gateway._state.demand.total("model", asyncio.get_running_loop().time())
         for name, item in site.gateways.items()
     }
     assert before[holders[0]].read_tokens == 0
@@ -180,10 +180,10 @@
     await asyncio.gather(*asked)
     clock = asyncio.get_running_loop().time
     own = sum(
-        item.gateway._parts.demand.own(clock())["model"].read_tokens
+        item.gateway._state.demand.own(clock())["model"].read_tokens
         for item in site.gateways.values()
     )
-    holder = site.gateways[holders[0]].gateway._parts.demand
+    holder = site.gateways[holders[0]].gateway._state.demand
 
     def total():
         return holder.total("model", clock()).read_tokens
--- a/tests/hosted/test_store_returns.py
+++ b/tests/hosted/test_store_returns.py
@@ -195,7 +195,7 @@
     now = asyncio.get_running_loop().time()
     case = Case(RequestName(bytes(8), b"deadly66"), (Crash("i-1", now), Crash("i-2", now)))
     for item in site.gateways.values():
-        item.gateway._parts.guard.take_cases([case], "a test")
+        item.gateway._state.guard.merge_crash_records([case], "a test")
         item.gateway._quarantine.note_change()
     await wait_until(lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "kept")
     site.store.come_back(site.early)
@@ -204,6 +204,6 @@
     for item in site.gateways.values():
         item.task.cancel()
     started = (await site.add_gateway("g7", 7)).gateway
-    guard = started._parts.guard
+    guard = started._state.guard
     await wait_until(guard.quarantine.list_quarantined, "known")
     assert guard.quarantine.list_quarantined()[0].name == case.name
--- a/tests/hosted/test_upstream_limits.py
+++ b/tests/hosted/test_upstream_limits.py
@@ -150,7 +150,7 @@
 @on_site(gateways=1, engines=ENGINES, plain=2)
 async def test_a_request_goes_elsewhere_where_a_word_comes_at_the_last_moment(site, load):
     # The word is heard between the choice and the first byte: the chosen one takes nothing more.
-    permits = site.gateways["g0"].gateway._parts.permits
+    permits = site.gateways["g0"].gateway._state.permits
     use, held = permits.use, []
 
     async def hold_once(ctx, instance):
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from swifttrestle.internal.policy.scheduling import is_large
+from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle_standins.hosted.site import Site
 from swifttrestle_standins.hosted.upstreams import StandInEngine, StandInUpstream
 from swifttrestle_standins.loopback import pick_ip, pick_port
@@ -116,7 +116,7 @@
         self.declare()
         for number in range(hosts):
             # A large fleet has schedulers and representatives in each zone.
-            zone = ZONES[number % len(ZONES)] if is_large(hosts) else ZONES[0]
+            zone = ZONES[number % len(ZONES)] if is_large_fleet(hosts) else ZONES[0]
             settings = self._settings_of(f"g{number}", number, zone)
             self.hosts[f"g{number}"] = GatewayProcess(f"g{number}", settings, self.folder)
         await asyncio.gather(*(host.start() for host in self.hosts.values()))
