--- a/bench/returns.py
+++ b/bench/returns.py
@@ -78,20 +78,20 @@
 class TellingRelay(ListingRelay):
     """The relay of one host of the model: its zone hears it after a moment, or not."""
 
-    def __init__(self, model: "Model", zone: int, large: bool, tells: bool) -> None:
-        """Tell the zone's hosts where this one `tells`."""
-        self._model, self.zone, self._large, self._tells = model, zone, large, tells
+    def __init__(self, model: "Model", zone: int, large: bool, should_relay: bool) -> None:
+        """Tell the zone's hosts where this one `should_relay`."""
+        self._model, self.zone, self._large, self._tells = model, zone, large, should_relay
         self.take: Callable[[ListingChanges], None] = lambda _: None
 
     def receive(self, take: Callable[[ListingChanges], None]) -> None:
         """Hand what others tell to `take`."""
         self.take = take
 
-    def watches(self) -> bool:
+    def should_watch(self) -> bool:
         """Return whether this host watches itself."""
         return not self._large or self._tells
 
-    def tells(self) -> bool:
+    def should_relay(self) -> bool:
         """Return whether this host tells others."""
         return self._large and self._tells
 
@@ -223,11 +223,11 @@
 
 def measure(way: Way, hosts: int, absence: Absence) -> Sequence[float]:
     """Return the medians over the seeds of what a play gives."""
-    standing = discovery_module.RETURN_SPREAD_SECONDS
+    standing = discovery_module.RESTORE_SPREAD_SECONDS
     if way.spread_seconds is not None:
-        discovery_module.RETURN_SPREAD_SECONDS = way.spread_seconds
+        discovery_module.RESTORE_SPREAD_SECONDS = way.spread_seconds
     rows = [run_in_virtual_time(Model(way, hosts, seed).play(absence)) for seed in SEEDS]
-    discovery_module.RETURN_SPREAD_SECONDS = standing
+    discovery_module.RESTORE_SPREAD_SECONDS = standing
     return [statistics.median(row[column] for row in rows) for column in range(5)]
 
 
--- a/src/swifttrestle/controller.py
+++ b/src/swifttrestle/controller.py
@@ -19,12 +19,12 @@
 )
 from swifttrestle.internal.coordination.config_authority import ConfigAuthority
 from swifttrestle.internal.coordination.engine_views import PoolStatus
-from swifttrestle.internal.coordination.hosts import HostBook
-from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseKeeper
-from swifttrestle.internal.coordination.membership import OpenCounter
+from swifttrestle.internal.coordination.hosts import HostTracker
+from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseManager
+from swifttrestle.internal.coordination.membership import OpenRequestCounter
 from swifttrestle.internal.coordination.orders import ORDER, OrderLog
 from swifttrestle.internal.coordination.pools import (
-    EngineMaker,
+    EngineFactory,
     Pool,
     make_http_engine,
 )
@@ -46,19 +46,19 @@
     """An actor and whether a tick still waits for it."""
 
     ref: pykka.ActorRef
-    waiting: threading.Event
+    tick_pending: threading.Event
 
     def send(self, tick: Tick) -> None:
         """Send a tick unless the one before is still waiting."""
-        if not self.waiting.is_set():
-            self.waiting.set()
+        if not self.tick_pending.is_set():
+            self.tick_pending.set()
             self.ref.tell(tick)
 
 
 def start_stepper(kind: type[StepActor], *args: Any) -> Stepper:
     """Start an actor."""
-    waiting = threading.Event()
-    return Stepper(kind.start(waiting, *args), waiting)
+    tick_pending = threading.Event()
+    return Stepper(kind.start(tick_pending, *args), tick_pending)
 
 
 class Controller:
@@ -67,7 +67,7 @@
     def __init__(
         self,
         settings: ControllerSettings,
-        make_engine: EngineMaker = make_http_engine,
+        make_engine: EngineFactory = make_http_engine,
         make_planner: Callable[[], RolePlanner] = CostAwareRoles,
     ) -> None:
         """Prepare; `run` begins and returns at a planned stop."""
@@ -75,9 +75,9 @@
         self._make_engine = make_engine
         self._make_planner = make_planner
         self.process = Process(
-            settings, CONTROLLER, (*KINDS, LEASE, ORDER), OpenCounter(), ClosingTable()
+            settings, CONTROLLER, (*KINDS, LEASE, ORDER), OpenRequestCounter(), ClosingTable()
         )
-        self._hosts = HostBook(self.process.api, self.process.clock, settings.host_lag_seconds)
+        self._hosts = HostTracker(self.process.api, self.process.clock, settings.host_lag_seconds)
         self._authority = self._make_authority()
         self._pools: dict[str, Stepper] = {}
         self._pool_status: dict[str, PoolStatus | None] = {}
@@ -94,11 +94,11 @@
         lease = self._make_lease(CONFIG_LEASE)
         return ConfigAuthority(process.api, process.cache, lease, process.config, process.metrics)
 
-    def _make_lease(self, name: str) -> LeaseKeeper:
+    def _make_lease(self, name: str) -> LeaseManager:
         """Spread the leases: each process leaves most of them to others for a moment."""
         settings, process = self._settings, self.process
         rank = zlib.crc32(f"{name}/{settings.name}".encode()) % RANKS
-        return LeaseKeeper(
+        return LeaseManager(
             process.api,
             process.cache,
             name,
@@ -126,7 +126,7 @@
                 next_slow = process.clock.now() + settings.status_seconds
                 self._hosts.refresh()
                 if self._authority.lease.held:
-                    process.membership.clear_gone(self._hosts.is_gone)
+                    process.membership.delete_gone_members(self._hosts.is_gone)
                 status_actor.send(tick)
 
     def _start_pools(self) -> None:
--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -23,8 +23,8 @@
 from swifttrestle.internal.clock import read_seconds
 from swifttrestle.internal.coordination.actors import STATUS
 from swifttrestle.internal.coordination.conditional_writes import (
-    plain_spec,
     read_or_none,
+    strip_nonce,
     write_once,
 )
 from swifttrestle.internal.described import write_default
@@ -77,7 +77,7 @@
         written: dict[str, int] = {}
         for document in documents:
             before = current[document.key]
-            if before is not None and plain_spec(before) == document.spec:
+            if before is not None and strip_nonce(before) == document.spec:
                 _say(f"{document.key} unchanged")
                 continue
             version = before.version if before else 0
@@ -100,7 +100,7 @@
         """
         for document in read_documents(paths):
             stored = read_or_none(self._api, document.kind, document.name)
-            before = plain_spec(stored) if stored else {}
+            before = strip_nonce(stored) if stored else {}
             for field in sorted({*before, *document.spec}):
                 old, new = before.get(field), document.spec.get(field)
                 if old != new:
@@ -130,7 +130,7 @@
         else:
             found = self._api.list(kind).items
         plain = [
-            {"kind": i.kind, "name": i.name, "version": i.version, "spec": plain_spec(i)}
+            {"kind": i.kind, "name": i.name, "version": i.version, "spec": strip_nonce(i)}
             for i in sorted(found, key=lambda i: i.name)
         ]
         if output == "json":
@@ -153,7 +153,7 @@
             if event.stored is None:
                 continue
             verb = "deleted" if event.deleted else "changed"
-            _say(f"{event.stored.kind}/{event.stored.name} {verb} {plain_spec(event.stored)}")
+            _say(f"{event.stored.kind}/{event.stored.name} {verb} {strip_nonce(event.stored)}")
             seen += 1
             if count and seen >= count:
                 return
@@ -179,7 +179,7 @@
         Example: swifttrestle-ctl status
         """
         for stored in sorted(self._api.list(STATUS).items, key=lambda item: item.name):
-            for line in _show_status(stored.name, plain_spec(stored)):
+            for line in _show_status(stored.name, strip_nonce(stored)):
                 _say(line)
 
     def drain(self, upstream: str) -> None:
@@ -256,7 +256,7 @@
         merged = {}
         for kind in KINDS:
             for item in self._api.list(kind).items:
-                merged[f"{kind}/{item.name}"] = (kind, item.name, plain_spec(item))
+                merged[f"{kind}/{item.name}"] = (kind, item.name, strip_nonce(item))
         merged |= {d.key: (d.kind, d.name, d.spec) for d in documents}
         parsed = [parse_resource(*parts).value_or(None) for parts in merged.values()]
         faults = find_faults(collect(resource for resource in parsed if resource is not None))
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -12,14 +12,14 @@
 from typing import Any
 
 from swifttrestle.errors import InvalidSettingError
-from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
-from swifttrestle.internal.coordination.discovery import RETURN_SPREAD_SECONDS, Discovery
+from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
+from swifttrestle.internal.coordination.discovery import RESTORE_SPREAD_SECONDS, Discovery
 from swifttrestle.internal.coordination.duties import Duties
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.coordination.freshness_monitor import BeliefKeeper
+from swifttrestle.internal.coordination.freshness_monitor import FreshnessMonitor
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
-from swifttrestle.internal.coordination.prompt_cache_loader import KeptPartsLoader
+from swifttrestle.internal.coordination.prompt_cache_loader import PromptCacheLoader
 from swifttrestle.internal.coordination.quarantine_relay import QuarantineRelay
 from swifttrestle.internal.coordination.quarantine_store import QuarantineStore
 from swifttrestle.internal.event_log import WRITER, log_decision
@@ -82,7 +82,7 @@
         self._skipped = SkippedEntries(self._count_skipped)
         self._store = ObjectStore(settings.store, ConnectionPool(SILENCE_MS))
         self._store.epochs.on_return = self._note_store_return
-        self._configuration = ConfigurationKeeper(
+        self._configuration = ConfigurationWatcher(
             self._store,
             rng,
             self._note_configuration,
@@ -106,7 +106,7 @@
             socket,
             settings.host,
             self._gossip.list_members,
-            lambda: self._gossip.candidates.holds_roles,
+            lambda: self._gossip.candidates.holds_duty_lease,
         )
         self._discovery = Discovery(
             self._store,
@@ -126,7 +126,7 @@
             self._gossip.list_members,
             settings.is_near,
         )
-        self._gossip.hearers.list_schedulers = self._booker.list_schedulers
+        self._gossip.recipients.list_schedulers = self._booker.list_schedulers
         self._quarantine = QuarantineStore(
             self._store,
             self._state.guard,
@@ -144,7 +144,7 @@
             self._quarantine.note_change,
         )
         self._true_time = TrueTime()
-        self._beliefs = BeliefKeeper(
+        self._freshness_monitor = FreshnessMonitor(
             self._configuration,
             socket,
             me,
@@ -162,7 +162,7 @@
             self._state,
             self._gossip,
             self._discovery,
-            self._beliefs,
+            self._freshness_monitor,
             self._true_time,
             self._find_configuration,
             self._skipped,
@@ -171,9 +171,9 @@
             self._state,
             self._booker,
             lambda: self._configuration.table,
-            lambda: self._configuration.belief.confirmed_at,
+            lambda: self._configuration.freshness.confirmed_at,
             bounds.revocation,
-            self._duties.usage.note_run,
+            self._duties.usage.count_request,
         )
         self._state.permits = permits = DistributedRateLimiter(
             self._state.conditions,
@@ -184,7 +184,7 @@
         )
         self._state.guard.request_trial = permits.request_trial
         self._state.conditions.on_room = self._serve_queues
-        self._kept_parts = KeptPartsLoader(
+        self._prompt_cache_loader = PromptCacheLoader(
             settings.zone, self._fleet, self._state.pool, self._booker.schedules_engines, rng
         )
         self._listeners = Listeners()
@@ -213,10 +213,10 @@
         self._start(self._gossip.register(self._store, self._skipped))
         self._start(self._booker.run())
         self._start(self._state.conditions.run())
-        self._start(self._kept_parts.run())
+        self._start(self._prompt_cache_loader.run())
         self._start(self._quarantine.run())
         self._start(self._crashes.run())
-        self._start(self._beliefs.run())
+        self._start(self._freshness_monitor.run())
         for task in self._duties.list_tasks():
             self._start(task)
         self._start(watch_settings_file(Path(os.environ.get(PATH_VARIABLE, "")), self.reload))
@@ -286,7 +286,7 @@
         began = loop.time()
         end = began + self._settings.bounds.stop - END_MARGIN_SECONDS
         log_decision("stopping", open=self._listeners.count_busy())
-        self._gossip.say_leaving()
+        self._gossip.announce_leaving()
         await self._listeners.wait_for_learning(self._settings.bounds.stop / 2)
         self._handler.stops_at = end
         await self._listeners.finish(end)
@@ -327,14 +327,14 @@
         live = self._gossip.live_hosts()
         if len(live) > self._budgets.hosts:
             # Hosts that lost each other may each have missed what the others know.
-            self._crashes.ask_soon()
+            self._crashes.request_sync()
         self._budgets.hosts = len(live)
         self._serve_queues()
 
     def _note_store_return(self) -> None:
         """Take over that the store came back: read it anew, and write own entries again."""
-        later = self._rng.random() * RETURN_SPREAD_SECONDS
-        asyncio.get_running_loop().call_later(later, self._configuration.note_return)
+        later = self._rng.random() * RESTORE_SPREAD_SECONDS
+        asyncio.get_running_loop().call_later(later, self._configuration.reload_after_restore)
         self._quarantine.note_change()
         self._start(self._gossip.restore_registration(self._store))
 
@@ -374,7 +374,7 @@
         self._caught_up = self._caught_up or (known and self._gossip.has_caught_up())
         known = known and self._caught_up
         # One that may not take keys would turn all of its callers away.
-        known = known and self._beliefs.is_fresh()
+        known = known and self._freshness_monitor.is_fresh()
         return known and not self._stopping.is_set()
 
 
--- a/src/swifttrestle/internal/coordination/acceptance.py
+++ b/src/swifttrestle/internal/coordination/acceptance.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Success
 
-from swifttrestle.internal.coordination.conditional_writes import plain_spec
+from swifttrestle.internal.coordination.conditional_writes import strip_nonce
 from swifttrestle.internal.protocol.platform import StoredObject
 from swifttrestle.resources import (
     KINDS,
@@ -24,7 +24,7 @@
 )
 
 WORKSPACE_SHARDS = 8
-SHARD_LIMIT = 900_000
+MAX_SHARD_BYTES = 900_000
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     faults: list[FieldFault] = []
     for item in stored:
         key = f"{item.kind}/{item.name}"
-        match parse_resource(item.kind, item.name, plain_spec(item)):
+        match parse_resource(item.kind, item.name, strip_nonce(item)):
             case Success(resource):
                 wanted[key] = resource
             case Failure(found):
--- a/src/swifttrestle/internal/coordination/actors.py
+++ b/src/swifttrestle/internal/coordination/actors.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from swifttrestle.errors import ConflictError, PlatformUnavailableError
-from swifttrestle.internal.coordination.conditional_writes import change_object
+from swifttrestle.internal.coordination.conditional_writes import update_object
 from swifttrestle.internal.coordination.config_authority import ConfigAuthority
 from swifttrestle.internal.coordination.engine_views import PoolStatus
 from swifttrestle.internal.coordination.pools import Pool
@@ -41,16 +41,16 @@
 
     use_daemon_thread = True
 
-    def __init__(self, waiting: threading.Event) -> None:
-        """Start; `waiting` is set by whoever sends a tick and cleared when it is taken up."""
+    def __init__(self, tick_pending: threading.Event) -> None:
+        """Start; `tick_pending` is set by whoever sends a tick and cleared when it is taken up."""
         super().__init__()
-        self.waiting = waiting
+        self.tick_pending = tick_pending
 
     def on_receive(self, message: Any) -> Any:
         """Step or release; a failure is logged and the actor lives on."""
         try:
             if isinstance(message, Tick):
-                self.waiting.clear()
+                self.tick_pending.clear()
                 self.step(message.config)
             elif isinstance(message, Release):
                 self.release()
@@ -68,9 +68,9 @@
 class ConfigActor(StepActor):
     """Accepts configuration while it holds the configuration lease."""
 
-    def __init__(self, waiting: threading.Event, authority: ConfigAuthority) -> None:
+    def __init__(self, tick_pending: threading.Event, authority: ConfigAuthority) -> None:
         """Work on one authority."""
-        super().__init__(waiting)
+        super().__init__(tick_pending)
         self._authority = authority
 
     def step(self, config: ResourceSet) -> None:
@@ -87,12 +87,12 @@
 
     def __init__(
         self,
-        waiting: threading.Event,
+        tick_pending: threading.Event,
         pool: Pool,
         publish: Callable[[str, PoolStatus | None], None],
     ) -> None:
         """Work on one pool and publish its status after each step."""
-        super().__init__(waiting)
+        super().__init__(tick_pending)
         self._pool = pool
         self._publish = publish
 
@@ -110,10 +110,10 @@
     """Writes the status of all that this process holds, one object each, when it changed."""
 
     def __init__(
-        self, waiting: threading.Event, api: ObjectApi, collect: Callable[[], dict[str, dict]]
+        self, tick_pending: threading.Event, api: ObjectApi, collect: Callable[[], dict[str, dict]]
     ) -> None:
         """Write what `collect` returns, by name of the status object."""
-        super().__init__(waiting)
+        super().__init__(tick_pending)
         self._api = api
         self._collect = collect
         self._written: dict[str, dict] = {}
@@ -124,7 +124,7 @@
             if self._written.get(name) == status:
                 continue
             try:
-                change_object(self._api, STATUS, name, partial(_replace, status))
+                update_object(self._api, STATUS, name, partial(_replace, status))
                 self._written[name] = status
             except (PlatformUnavailableError, ConflictError):
                 return
--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -24,15 +24,15 @@
         self._peers = peers
         self._now = now
         self.leaving = False
-        self.holds_roles = False
+        self.holds_duty_lease = False
         self._lacks_store_until = NEVER
 
     @property
-    def lacks_store(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether this host could not reach the store of late."""
         return self._now() < self._lacks_store_until
 
-    def note_store_lost(self, seconds: float) -> None:
+    def mark_store_unreachable(self, seconds: float) -> None:
         """Be no candidate for so many seconds."""
         self._lacks_store_until = self._now() + seconds
 
@@ -42,7 +42,9 @@
 
     def is_candidate(self) -> bool:
         """Return whether this host is to plan roles: the holder while it lives, or the first."""
-        return not self.leaving and (self.holds_roles or self.list_order()[:1] == [self._me.host])
+        return not self.leaving and (
+            self.holds_duty_lease or self.list_order()[:1] == [self._me.host]
+        )
 
     def is_next_candidate(self) -> bool:
         """Return whether this host takes the planning over where the candidate is gone."""
@@ -50,14 +52,14 @@
 
     def find_holder(self, zone: str) -> str:
         """Return the host of a zone that holds the lease, by its own word, or ""."""
-        if self.holds_roles:
+        if self.holds_duty_lease:
             return self._me.host
         now = self._now()
         return next(
             (
                 peer.host
                 for peer in self._peers.peers.values()
-                if peer.zone == zone and peer.is_heard(now) and peer.holds_roles(now)
+                if peer.zone == zone and peer.is_heard(now) and peer.holds_duty_lease(now)
             ),
             "",
         )
@@ -79,6 +81,6 @@
 
     def _read_flags(self, host: str, now: float) -> tuple[bool, bool]:
         if host == self._me.host:
-            return self.holds_roles, self.lacks_store
+            return self.holds_duty_lease, self.store_unreachable
         peer = self._peers.peers[host]
-        return peer.holds_roles(now), peer.lacks_store(now)
+        return peer.holds_duty_lease(now), peer.store_unreachable(now)
--- a/src/swifttrestle/internal/coordination/capacity.py
+++ b/src/swifttrestle/internal/coordination/capacity.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from swifttrestle.errors import LeaseLostError
-from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.capacity import (
@@ -24,7 +24,7 @@
 from swifttrestle.platform.duties import Authority, CallOutcome, DutyCalls
 
 # Seconds between two looks.
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 # Seconds beyond the declared time of a start until which an order may still be on its way.
 SETTLE_SECONDS = 3.0
 # Share of the planned reclaimable upstreams that stand from which on roles are planned: the last
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        lease: DutyLeaseKeeper,
+        lease: DutyLeaseManager,
         calls: DutyCalls | None,
         fleet: Fleet,
         demand: DemandMeter,
@@ -94,7 +94,7 @@
         if self._calls is None:
             return
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             configuration = self._find_configuration()
             if configuration is None or self._lease.lease is None or not self._holds_duties():
                 # Another host's orders may have followed; what was sent from here is of no use.
@@ -206,7 +206,7 @@
         for item in zones:
             for reclaimable, count in ((False, item.lasting), (True, item.reclaimable)):
                 labels = {"service": service, "zone": item.zone, "kind": _name_kind(reclaimable)}
-                seconds = count * LOOK_SECONDS
+                seconds = count * POLL_SECONDS
                 paid = seconds * scaling.find_price(item.zone, reclaimable)
                 self._metrics.count("capacity_upstream_seconds_total", seconds, **labels)
                 self._metrics.count("capacity_paid_total", paid, **labels)
--- a/src/swifttrestle/internal/coordination/conditional_writes.py
+++ b/src/swifttrestle/internal/coordination/conditional_writes.py
@@ -50,7 +50,7 @@
     raise failure
 
 
-def plain_spec(stored: StoredObject) -> dict[str, Any]:
+def strip_nonce(stored: StoredObject) -> dict[str, Any]:
     """Return an object's spec without the nonce of its last write."""
     return {key: value for key, value in stored.spec.items() if key != NONCE}
 
@@ -63,7 +63,7 @@
         return None
 
 
-def change_object(
+def update_object(
     api: ObjectApi,
     kind: str,
     name: str,
--- a/src/swifttrestle/internal/coordination/config_authority.py
+++ b/src/swifttrestle/internal/coordination/config_authority.py
@@ -3,7 +3,7 @@
 from swifttrestle.errors import ConflictError, LeaseLostError, PlatformUnavailableError
 from swifttrestle.internal.coordination.acceptance import decide_acceptance, split_shards
 from swifttrestle.internal.coordination.conditional_writes import read_or_none, write_once
-from swifttrestle.internal.coordination.leases import LeaseKeeper
+from swifttrestle.internal.coordination.leases import LeaseManager
 from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.logs import log_change, log_fault
 from swifttrestle.internal.metrics import Metrics
@@ -19,7 +19,7 @@
         self,
         api: ObjectApi,
         cache: ObjectCache,
-        lease: LeaseKeeper,
+        lease: LeaseManager,
         store: ConfigStore,
         metrics: Metrics,
     ) -> None:
@@ -87,7 +87,7 @@
         epoch = int(stored.spec["epoch"]) + 1 if stored else 1
         spec = {"epoch": epoch, "token": self.lease.check(), "resources": resources}
         written = write_once(self._api, ACCEPTED, name, spec, stored.version if stored else 0)
-        self._cache.note_own_write(written)
+        self._cache.apply_own_write(written)
         log_change("configuration accepted", shard=name, epoch=epoch)
 
 
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -25,19 +25,19 @@
 
 # First and longest pause after a failed call, in seconds; a change must be in force within
 # two seconds of its acknowledgement once the store can be reached.
-FIRST_PAUSE, LONGEST_PAUSE = 0.05, 0.5
+FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 0.5
 # Seconds of a watch for each live host: watches that end at different moments have some host
 # ask the store about each second, and the others hear of what it learns. A watch may wait on a
 # connection that has fallen silent, and all of a fleet's connections may do so at once.
 WATCH_SECONDS_PER_HOST = 1.0
 LEAST_WATCH_SECONDS = 2.0
 # Seconds between two looks at whether others still keep this host up to date.
-FOLLOW_LOOK_SECONDS = 0.1
+FOLLOW_POLL_SECONDS = 0.1
 # Share of that below which no watch is, so that they do not all end together.
 LEAST_WATCH_SHARE = 0.3
 
 
-class ConfigurationKeeper:
+class ConfigurationWatcher:
     """The version in force; it only rises."""
 
     def __init__(
@@ -62,7 +62,7 @@
         self._confirmed: tuple[StoreRevision, int] = (NO_REVISION, 0)
         self.table: RouteTable | None = None
         self.raw: Any = None
-        self.belief = ConfigurationBelief(lambda: self.version)
+        self.freshness = ConfigurationBelief(lambda: self.version)
         # Tells whether others keep this host up to date, by words that are proved to be young.
         self.follows: Callable[[], bool] = lambda: False
 
@@ -126,7 +126,7 @@
             self._revision = copy.revision
             self._call.cancel()
 
-    def note_return(self) -> None:
+    def reload_after_restore(self) -> None:
         """Read anew: the store came back from a copy, and a waiting watch may hear nothing."""
         watching = self._revision != NO_REVISION
         self._revision = NO_REVISION
@@ -142,7 +142,7 @@
             except HistoryGoneError:
                 log_decision("configuration history gone", revision=str(self._revision))
                 self._revision = NO_REVISION
-                await asyncio.sleep(self._rng.random() * LONGEST_PAUSE / 2)
+                await asyncio.sleep(self._rng.random() * MAX_BACKOFF_SECONDS / 2)
             except PlatformUnavailableError as error:
                 await self._wait_out(error)
 
@@ -154,7 +154,7 @@
         if not self.table or not self.follows():
             return
         while self.follows():
-            await asyncio.sleep(FOLLOW_LOOK_SECONDS)
+            await asyncio.sleep(FOLLOW_POLL_SECONDS)
         self._revision = NO_REVISION
 
     async def _ask_store(self) -> None:
@@ -184,7 +184,7 @@
         """Take over that an entry was the newest one at a time; one that is not taken is none."""
         if item.revision != self._confirmed[0]:
             self._confirmed = (item.revision, self._read_version(item.spec, "store"))
-        self.belief.note(self._confirmed[1], asked_at)
+        self.freshness.note(self._confirmed[1], asked_at)
 
     async def _read(self) -> None:
         asked_at = asyncio.get_running_loop().time()
@@ -230,4 +230,6 @@
         self._failures += 1
         if self._failures == 2:
             log_decision("store lost", by="configuration", reason=str(error))
-        await asyncio.sleep(draw_backoff(self._rng, self._failures, FIRST_PAUSE, LONGEST_PAUSE))
+        await asyncio.sleep(
+            draw_backoff(self._rng, self._failures, FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
+        )
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
 from swifttrestle.internal.coordination.removals import Removals
 from swifttrestle.internal.coordination.restored_entries import CopiedEntries
-from swifttrestle.internal.coordination.store_availability import StoreContact
+from swifttrestle.internal.coordination.store_availability import StoreAvailability
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.listings import ListingChanges, join_changes
@@ -24,23 +24,23 @@
 # Least seconds between the starts of two calls. Each change of any record ends a waiting watch, so
 # in a release or while roles change a watch without a pause would be a call for each of them; this
 # pace is well under the time in which a leaving upstream must get no new work.
-PACE_SECONDS = 0.8
+MIN_CALL_INTERVAL_SECONDS = 0.8
 # Seconds from the end of one watch to that of the next, pause and wait together: so short that a
 # path which is broken in silence is noticed in time, also with the store client's margin and the
 # list that follows (docs/INVARIANTS.md adds them up).
 WATCH_SECONDS = 1.6
 # The same for a host that tells others what it sees: they take its silence for a fault.
-TELLING_WAIT_SECONDS = PACE_SECONDS
+RELAYING_WATCH_SECONDS = MIN_CALL_INTERVAL_SECONDS
 # First and longest pause after a failed call, in seconds. All of it delays the moment from which
 # removals count again after an outage.
-FIRST_PAUSE, LONGEST_PAUSE = 0.1, 0.4
+FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 0.4
 # Seconds of silence after which a host that hears of changes from others reads the list
 # itself: one and a half times the pace, so that a leaving upstream gets no new work after the
 # two seconds promised, also where the host that told of it is gone.
-FOLLOW_SECONDS = 1.2
+RELAY_TIMEOUT_SECONDS = 1.2
 # Seconds over which hosts spread what they read after a return of the store from a copy, where
 # nothing else has them read at different moments.
-RETURN_SPREAD_SECONDS = 0.4
+RESTORE_SPREAD_SECONDS = 0.4
 # Failed calls in a row after which the store counts as away: a single one may be a cut watch.
 FAILURES_FOR_OUTAGE = 2
 
@@ -89,9 +89,10 @@
         self._paused = 0.0
         self._failures = 0
         self._away = False
-        # Outages that are over: a short one may come and go between two looks at `store_away`.
+        # Outages that are over: a short one may come and go between two looks at
+        # `store_unreachable`.
         self.store_returns = 0
-        self._contact = StoreContact()
+        self._contact = StoreAvailability()
         self.removals = Removals(fleet, changed, find_up_since)
         self._copied = CopiedEntries(fleet)
         self.removals.note_dropped = lambda name: self._copied.note_withdrawn(name, self._now())
@@ -99,13 +100,13 @@
         relay.receive(self._take_told)
 
     @property
-    def store_away(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether the store has not answered this host's latest calls."""
         return self._away
 
     def count_store_seconds(self) -> float:
         """Return for how many seconds the store has answered this host without a break."""
-        return self._contact.count_seconds(self._now())
+        return self._contact.find_available_seconds(self._now())
 
     async def run(self) -> None:
         """List, then watch, for as long as the process lives."""
@@ -121,13 +122,13 @@
                 else:
                     await self._watch()
                 self._note_answer()
-                self._paused = max(0.0, PACE_SECONDS - (self._now() - began))
+                self._paused = max(0.0, MIN_CALL_INTERVAL_SECONDS - (self._now() - began))
                 await asyncio.sleep(self._paused)
             except HistoryGoneError:
                 log_decision("discovery history gone", revision=str(self._revision))
                 self._stale = True
                 if self._store.epochs.current == self._revision.epoch:
-                    await asyncio.sleep(self._rng.random() * PACE_SECONDS / 2)
+                    await asyncio.sleep(self._rng.random() * MIN_CALL_INTERVAL_SECONDS / 2)
             except PlatformUnavailableError as error:
                 await self._wait_out(error)
 
@@ -162,8 +163,8 @@
     def _begin_epoch(self, snapshot: Snapshot) -> None:
         """Take the first list after a return of the store for the old copy that it is."""
         now = self._now()
-        self._contact.note_break()
-        self._contact.note_answer(now)
+        self._contact.record_outage()
+        self._contact.record_answer(now)
         self.removals.note_epoch(now)
         left_aside = self._copied.begin(snapshot, now)
         log_decision(
@@ -176,7 +177,7 @@
 
     async def _watch(self) -> None:
         longest = WATCH_SECONDS - self._paused
-        wait = TELLING_WAIT_SECONDS if self._relay.tells() else longest
+        wait = RELAYING_WATCH_SECONDS if self._relay.should_relay() else longest
         since = self._revision
         seen = await self._store.watch(UPSTREAM_KIND, since, wait)
         self._note_answer()
@@ -247,7 +248,7 @@
         records: tuple[UpstreamRecord, ...],
         removed: tuple[str, ...],
     ) -> None:
-        if not self._relay.tells():
+        if not self._relay.should_relay():
             return
         distrust = max(0.0, self.removals.find_trusted_from() - self._now())
         changes = ListingChanges(since, self._revision, distrust, records, removed)
@@ -258,14 +259,18 @@
 
     def _follows(self) -> bool:
         """Return whether another host watches for this one, and is heard."""
-        return self._now() - self._told_at < FOLLOW_SECONDS and not self._relay.watches()
+        return (
+            self._now() - self._told_at < RELAY_TIMEOUT_SECONDS and not self._relay.should_watch()
+        )
 
     async def _follow(self) -> None:
         """Wait for the next word of another host; read the list itself where none comes."""
-        self._contact.note_break()
+        self._contact.record_outage()
         self._told.clear()
         try:
-            async with asyncio.timeout(max(0.0, self._told_at + FOLLOW_SECONDS - self._now())):
+            async with asyncio.timeout(
+                max(0.0, self._told_at + RELAY_TIMEOUT_SECONDS - self._now())
+            ):
                 await self._told.wait()
         except TimeoutError:
             log_decision("list watcher silent", revision=str(self._revision))
@@ -283,7 +288,7 @@
         if changes.since > self._revision:
             self._stale = True
             if self.known and changes.since.epoch != self._revision.epoch:
-                self._spread = self._rng.random() * RETURN_SPREAD_SECONDS
+                self._spread = self._rng.random() * RESTORE_SPREAD_SECONDS
         else:
             self._fleet.confirmed_at = self._told_at
             self._revision = changes.revision
@@ -302,7 +307,7 @@
         self._failures = 0
         now = self._now()
         self._fleet.confirmed_at = now
-        self._contact.note_answer(now)
+        self._contact.record_answer(now)
         if self._away:
             self._away = False
             self.store_returns += 1
@@ -314,12 +319,14 @@
         self._stale = True
         if not self._failures:
             self.removals.note_loss(self._contact.answered_at)
-        self._contact.note_break()
+        self._contact.record_outage()
         self._failures += 1
         if self._failures >= FAILURES_FOR_OUTAGE and not self._away:
             self._away = True
             log_decision("store lost", by="discovery", reason=str(error))
-        await asyncio.sleep(draw_backoff(self._rng, self._failures, FIRST_PAUSE, LONGEST_PAUSE))
+        await asyncio.sleep(
+            draw_backoff(self._rng, self._failures, FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
+        )
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -5,9 +5,9 @@
 
 from swifttrestle.internal.coordination.capacity import CapacityDuty
 from swifttrestle.internal.coordination.discovery import Discovery
-from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.coordination.freshness_monitor import BeliefKeeper
+from swifttrestle.internal.coordination.freshness_monitor import FreshnessMonitor
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.coordination.roles import RoleDuty
 from swifttrestle.internal.coordination.usage import UsageDuty
@@ -38,7 +38,7 @@
         parts: GatewayState,
         gossip: Gossip,
         discovery: Discovery,
-        beliefs: BeliefKeeper,
+        freshness_monitor: FreshnessMonitor,
         true_time: TrueTime,
         find_configuration: Callable[[], Configuration | None],
         skipped: SkippedEntries,
@@ -50,7 +50,7 @@
         calls = DutyCalls(wanted.address, ConnectionPool()) if wanted else None
         # Another machine of the same name is another holder.
         holder = f"{settings.host}@{settings.ip}"
-        self.lease = DutyLeaseKeeper(store, "roles", holder, incarnation, bounds.lease, skipped)
+        self.lease = DutyLeaseManager(store, "roles", holder, incarnation, bounds.lease, skipped)
         self.usage = UsageDuty(
             f"{settings.host} {incarnation}",
             socket,
@@ -58,7 +58,7 @@
             calls if wanted and wanted.usage else None,
             self._list_collectors,
             self._holds,
-            beliefs.has_keys,
+            freshness_monitor.requires_keys,
             true_time,
             bounds.usage_window,
             parts.metrics,
@@ -70,7 +70,7 @@
             parts.demand,
             find_configuration,
             self._holds,
-            lambda: discovery.store_away,
+            lambda: discovery.store_unreachable,
             parts.metrics,
         )
 
@@ -82,7 +82,7 @@
             parts.pool,
             gossip,
             find_configuration,
-            lambda: discovery.store_away,
+            lambda: discovery.store_unreachable,
             lambda: discovery.store_returns,
             self.capacity.is_settling,
         )
@@ -101,7 +101,7 @@
         }
 
     def _holds(self) -> bool:
-        return self._gossip.candidates.holds_roles
+        return self._gossip.candidates.holds_duty_lease
 
     def _list_collectors(self) -> list[Member]:
         """Return the other hosts that gather what is counted, the holder first."""
--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -54,7 +54,7 @@
 Change = Callable[[DutyLease], DutyLease]
 
 
-class DutyLeaseKeeper:
+class DutyLeaseManager:
     """Takes, keeps and uses one lease."""
 
     def __init__(
@@ -72,10 +72,10 @@
         self._name = name
         self._host = host
         self._incarnation = incarnation
-        self._wait = duration + SEND_SECONDS + ARRIVAL_SECONDS
+        self._takeover_seconds = duration + SEND_SECONDS + ARRIVAL_SECONDS
         self._seen_revision = NO_REVISION
         self._seen_at = 0.0
-        self._look_at = 0.0
+        self._next_read_at = 0.0
         self._stored: StoredObject | None = None
         # The lease as this host held it last, and the loop's time at which it was written last.
         self._former: DutyLease | None = None
@@ -84,7 +84,7 @@
         # The loop's time until which another holder may have acted of whom no word is left.
         self.unknown_until = NEVER
         # Several duties write on the one lease, each at the revision that the last one left.
-        self._writing = asyncio.Lock()
+        self._write_lock = asyncio.Lock()
         self.lease: DutyLease | None = None
 
     def _now(self) -> float:
@@ -94,7 +94,7 @@
         """Return whether this process holds the lease, having tried to take it."""
         if self.lease is not None:
             return self._still_holds(self.lease)
-        if self._now() < self._look_at:
+        if self._now() < self._next_read_at:
             return False
         try:
             known = await self.observe()
@@ -119,9 +119,9 @@
             # Others have acted since; what this host knew is old.
             self._former = None
         mine = current.holder == self._host
-        if not mine and self._now() - self._seen_at < self._wait:
+        if not mine and self._now() - self._seen_at < self._takeover_seconds:
             # Nothing between now and then can make the lease free.
-            self._look_at = self._seen_at + self._wait
+            self._next_read_at = self._seen_at + self._takeover_seconds
             return False
         return await self._write(self._take(current, current.token), known.revision)
 
@@ -145,7 +145,7 @@
         taken = self._take(current, _find_highest_token(revision))
         taken = replace(taken, epoch=revision.epoch)
         since = self._store.epochs.since
-        if since - self._written_at >= self._wait:
+        if since - self._written_at >= self._takeover_seconds:
             # Time enough for another one to have taken the lease over, and to have lost it.
             self.unknown_until = since + SEND_SECONDS + ARRIVAL_SECONDS
         return taken if self._former is None else taken.with_former(self._former)
@@ -211,7 +211,7 @@
 
         Raises LeaseLostError where another holder has taken over.
         """
-        async with self._writing:
+        async with self._write_lock:
             if self.lease is None or self._stored is None:
                 raise LeaseLostError("the lease is not held")
             began = self._now()
--- a/src/swifttrestle/internal/coordination/exchange.py
+++ b/src/swifttrestle/internal/coordination/exchange.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
+from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.protocol.copies import LARGEST_CONFIGURATION, pack_copy, unpack_copy
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
@@ -26,7 +26,7 @@
 class ConfigurationExchange:
     """This gateway's streams with peers; all hosts use the same port."""
 
-    def __init__(self, ip: str, port: int, configuration: ConfigurationKeeper) -> None:
+    def __init__(self, ip: str, port: int, configuration: ConfigurationWatcher) -> None:
         """Give out, and bring up to date, what `configuration` keeps."""
         self._ip = ip
         self._port = port
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 
 from swifttrestle.errors import BadEntryError, NotFoundError, PlatformUnavailableError
-from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
+from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.coordination.representatives import Representatives
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.revocation import is_fresh
@@ -20,8 +20,8 @@
 from swifttrestle.internal.protocol.freshness import (
     BeliefAnswer,
     BeliefQuestion,
-    pack_answer,
-    pack_question,
+    pack_freshness_query,
+    pack_freshness_reply,
     unpack_belief,
 )
 from swifttrestle.internal.state.median_clock import TrueTime
@@ -32,15 +32,15 @@
 # the bound of 5 s a representative reads the store once a second, another host asks one each 0.5 s,
 # and a proof is 1.7 s old at most on a calm day, so that an outage of three seconds costs no
 # request; six readers make 6 calls a second.
-READ_SHARE = 0.2
-ASK_SHARE = 0.1
+READ_INTERVAL_SHARE = 0.2
+QUERY_INTERVAL_SHARE = 0.1
 LONGEST_BOUND = 5.0
 # Pauses differ by this share of them, so that hosts do not all ask at once.
 JITTER_SHARE = 0.2
 # Share of the bound from which on, as the age of a proof, hosts of all zones are asked, since a
 # question brought nothing newer. New versions are then heard of by this host's own watch: with a
 # look and a read after that one is in force within three seconds of the five.
-WIDEN_SHARE = 0.42
+WIDEN_AGE_SHARE = 0.42
 # Hosts asked by lot besides all representatives: a proof that one host gets goes through a fleet
 # of 83 within two questions.
 DRAWN_HOSTS = 3
@@ -50,12 +50,12 @@
 ANSWER_SECONDS = 2.0
 
 
-class BeliefKeeper:
+class FreshnessMonitor:
     """This host's questions and answers."""
 
     def __init__(
         self,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationWatcher,
         socket: PeerSocket,
         me: Member,
         list_members: Callable[[], Sequence[Member]],
@@ -77,9 +77,9 @@
         self._true_time = true_time
         self._bound = bound
         bound = min(bound, LONGEST_BOUND)
-        self._read_seconds = bound * READ_SHARE
-        self._ask_seconds = bound * ASK_SHARE
-        self._widen_age = bound * WIDEN_SHARE
+        self._read_seconds = bound * READ_INTERVAL_SHARE
+        self._ask_seconds = bound * QUERY_INTERVAL_SHARE
+        self._widen_age = bound * WIDEN_AGE_SHARE
         self._rng = rng
         # This host's questions that may still be answered, by their own times.
         self._asked: set[float] = set()
@@ -91,17 +91,17 @@
     @property
     def age(self) -> float:
         """Seconds since the version in force was proved to be the newest."""
-        return _now() - self._configuration.belief.confirmed_at
+        return _now() - self._configuration.freshness.confirmed_at
 
     def is_fresh(self) -> bool:
         """Return whether callers' keys may be taken now; always where no caller needs one."""
-        return not self.has_keys() or is_fresh(self.age, self._bound)
+        return not self.requires_keys() or is_fresh(self.age, self._bound)
 
     async def run(self) -> None:
         """Ask for as long as the process lives."""
         while True:
             began = _now()
-            if self.has_keys():
+            if self.requires_keys():
                 await self._renew()
                 self._log_change()
             pause = self._read_seconds if self._is_reader() else self._ask_seconds
@@ -121,7 +121,9 @@
         store could tell of it, and the store is asked again before the word is too old for that.
         """
         large = is_large_fleet(len(self._list_members()))
-        return large and self.has_keys() and not self._is_reader() and self.age < self._widen_age
+        return (
+            large and self.requires_keys() and not self._is_reader() and self.age < self._widen_age
+        )
 
     def _is_reader(self) -> bool:
         return self._me.host in self._representatives.list_own()
@@ -159,7 +161,7 @@
         now = _now()
         self._asked = {at for at in self._asked if now - at < ANSWER_SECONDS}
         self._asked.add(now)
-        data = pack_question(BeliefQuestion(now, time.time()))
+        data = pack_freshness_query(BeliefQuestion(now, time.time()))
         for host in hosts:
             self._socket.send(host.ip, DatagramKind.BELIEF, data)
 
@@ -173,24 +175,24 @@
             self._take(message, ip)
 
     def _answer(self, question: BeliefQuestion, ip: str) -> None:
-        confirmed_at = self._configuration.belief.confirmed_at
+        confirmed_at = self._configuration.freshness.confirmed_at
         version = self._configuration.version
         if not version or confirmed_at == float("-inf"):
             return
         age = max(0.0, _now() - confirmed_at)
         answer = BeliefAnswer(question.asked_at, version, age, self._true_time.now())
-        self._socket.send(ip, DatagramKind.BELIEF, pack_answer(answer))
+        self._socket.send(ip, DatagramKind.BELIEF, pack_freshness_reply(answer))
 
     def _take(self, answer: BeliefAnswer, ip: str) -> None:
         now = _now()
         self._answered_at = now
         # The answer was made after the question, so its proof is at least as young as this.
-        self._configuration.belief.note(answer.version, answer.asked_at - answer.age)
+        self._configuration.freshness.note(answer.version, answer.asked_at - answer.age)
         self._true_time.note(ip, answer.wall, (now - answer.asked_at) / 2)
         if answer.version > self._configuration.version:
             self._fetch_later(ip, ip, answer.version)
 
-    def has_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Return whether callers need keys."""
         table = self._configuration.table
         return table is not None and table.keys is not None
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Iterable
 
 from swifttrestle.internal.coordination.candidates import RoleCandidates
-from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
+from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.coordination.entries import SkippedEntries
 from swifttrestle.internal.coordination.exchange import ConfigurationExchange
-from swifttrestle.internal.coordination.recipients import Hearers
+from swifttrestle.internal.coordination.recipients import ReportRecipients
 from swifttrestle.internal.coordination.registration import register_host, restore_registration
-from swifttrestle.internal.coordination.role_orders import OrderedRoles
+from swifttrestle.internal.coordination.role_orders import RoleOrders
 from swifttrestle.internal.coordination.rosters import Rosters
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
 from swifttrestle.internal.event_log import log_decision
@@ -65,7 +65,7 @@
         fleet: Fleet,
         demand: DemandMeter,
         sent_prompts: deque[SentPrompt],
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationWatcher,
         rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
@@ -83,10 +83,10 @@
         self._demand = ZoneDemand(me, self._peers, demand)
         self._rosters = Rosters(me, socket, self._peers, self._take_summary, self._now)
         self.candidates = RoleCandidates(me, self._peers, self._now)
-        self.hearers = Hearers(
+        self.recipients = ReportRecipients(
             me, self._peers, self.candidates, rng, self._now, lambda: self._rosters.told_at
         )
-        self._ordered = OrderedRoles(fleet, self._now)
+        self._ordered = RoleOrders(fleet, self._now)
         self._live: frozenset[str] = frozenset()
         # Open work as it was last told to anyone, and when to tell it again.
         self._sent_work: Work = {}
@@ -118,7 +118,7 @@
 
     def list_members(self) -> tuple[Member, ...]:
         """Return this host and the peers heard of late, with their addresses and zones."""
-        return self.hearers.list_members()
+        return self.recipients.list_members()
 
     def has_caught_up(self) -> bool:
         """Return whether this host has met its peers, and no version of theirs is newer.
@@ -150,25 +150,25 @@
         was_untold = False
         while True:
             now = self._now()
-            untold = self.hearers.is_untold(now)
+            untold = self.recipients.is_untold(now)
             if now >= beat_at or (untold and not was_untold):
                 beat_at = now + HEARTBEAT_SECONDS * (0.9 + 0.2 * self._rng.random())
                 self._expire(now)
-                self.hearers.find_schedulers(now)
+                self.recipients.find_schedulers(now)
                 self._beat(now)
             else:
                 self._report(now)
             was_untold = untold
             await asyncio.sleep(self._find_pause())
 
-    def say_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell all peers at once that this gateway stops."""
         self.candidates.leaving = True
         self._send({}, self._peers.list_seen(self._now()))
 
-    def note_store_lost(self, seconds: float) -> None:
+    def mark_store_unreachable(self, seconds: float) -> None:
         """Tell the peers that this host cannot reach the store, for so many seconds."""
-        self.candidates.note_store_lost(seconds)
+        self.candidates.mark_store_unreachable(seconds)
         self._send(self._list_work(), self._peers.list_seen(self._now()))
 
     def note_order(self, engine: str, role: Role, ready_at: float) -> None:
@@ -183,42 +183,44 @@
 
     def _find_pause(self) -> float:
         """Return the seconds between two looks at what is to be told."""
-        if self.hearers.is_large_fleet() and not self.hearers.schedules:
+        if self.recipients.is_large_fleet() and not self.recipients.schedules:
             return LARGE_REPORT_SECONDS
-        schedules = self.hearers.schedules
-        hearers = self.hearers.count_schedulers() if schedules else len(self._peers.peers)
-        return REPORT_SECONDS + REPORT_SECONDS_PER_PEER * hearers
+        schedules = self.recipients.schedules
+        recipients = self.recipients.count_schedulers() if schedules else len(self._peers.peers)
+        return REPORT_SECONDS + REPORT_SECONDS_PER_PEER * recipients
 
     def _beat(self, now: float) -> None:
         """Send a heartbeat: to all, or in a large fleet to those who tell the others."""
         work = self._list_work()
-        if not self.hearers.is_large_fleet():
+        if not self.recipients.is_large_fleet():
             self._note_sent(work)
             self._send(work, self._peers.peers.values(), with_known=True)
             return
         self._rosters.expire()
-        hearers = self.hearers.list_for_heartbeat(now, told=bool(work or self._sent_work))
+        recipients = self.recipients.list_for_heartbeat(now, told=bool(work or self._sent_work))
         self._note_sent(work)
-        self._send(work, hearers)
-        self._send(work, self.hearers.choose_greeted(now), with_known=True)
-        if self.hearers.is_representative():
-            self._rosters.send(self._make_summary(), self.hearers.list_for_summary())
+        self._send(work, recipients)
+        self._send(work, self.recipients.choose_greeted(now), with_known=True)
+        if self.recipients.is_representative():
+            self._rosters.send(self._make_summary(), self.recipients.list_for_summary())
 
     def _report(self, now: float) -> None:
         """Tell of changes between two heartbeats."""
         work = self._list_work()
         if now >= self._report_at and work != self._sent_work:
-            large = self.hearers.is_large_fleet()
+            large = self.recipients.is_large_fleet()
             self._note_sent(work)
-            hearers = self.hearers.list_other_schedulers() if large else self._peers.list_seen(now)
-            self._send(work, hearers)
-        if self.hearers.is_large_fleet() and self.hearers.is_representative():
+            recipients = (
+                self.recipients.list_other_schedulers() if large else self._peers.list_seen(now)
+            )
+            self._send(work, recipients)
+        if self.recipients.is_large_fleet() and self.recipients.is_representative():
             marks = (self._rosters.refresh_own(), *self._rosters.list_strays())
             # A version is told at once: on a thin link a copy that begins 0.4 s later finds the
             # store's own answer, eleven times as long, under way.
             newer = self._configuration.version > self._told_version
             if newer or self._rosters.is_news(marks):
-                self._rosters.send(self._make_summary(), self.hearers.list_for_summary())
+                self._rosters.send(self._make_summary(), self.recipients.list_for_summary())
 
     def _list_work(self) -> Work:
         """Return what is open here as far as others use it.
@@ -227,7 +229,7 @@
         over before a report of it could be used.
         """
         work = self._fleet.own_work()
-        if not self.hearers.is_large_fleet():
+        if not self.recipients.is_large_fleet():
             return work
         return {name: item for name, item in work.items() if self._fleet.is_engine(name)}
 
@@ -244,12 +246,12 @@
             self._me.link_mbps,
             self._incarnation,
             self._configuration.version,
-            self.candidates.lacks_store,
+            self.candidates.store_unreachable,
             self.candidates.find_holder(self._me.zone),
             own,
             (*self._rosters.list_strays(), *self._rosters.list_others(own)),
             self._demand.sum_own_zone(self._now()),
-            self._ordered.list_told(),
+            self._ordered.list_recent(),
         )
 
     def _send(self, work: Work, peers: Iterable[Peer], with_known: bool = False) -> None:
@@ -262,12 +264,12 @@
                 self._incarnation,
                 self._configuration.version,
                 self.candidates.leaving,
-                self.candidates.holds_roles,
-                self.candidates.lacks_store,
+                self.candidates.holds_duty_lease,
+                self.candidates.store_unreachable,
                 self.count_store_seconds(),
                 {name: (item.tokens, item.requests) for name, item in work.items()},
                 self._demand.list_own(self._now()),
-                self._ordered.list_told(),
+                self._ordered.list_recent(),
                 self._sample_known() if with_known else (),
                 self._take_prompts(),
             )
@@ -278,7 +280,7 @@
     def _take_prompts(self) -> tuple[SentPrompt, ...]:
         """Return prompts to tell of; in a large fleet schedulers know what they have booked."""
         waiting = self._sent_prompts
-        if self.hearers.is_large_fleet():
+        if self.recipients.is_large_fleet():
             waiting.clear()
         return tuple(waiting.popleft() for _ in range(min(MOST_PROMPTS, len(waiting))))
 
@@ -300,34 +302,36 @@
                 Member(report.host, report.ip, report.zone, report.link_mbps),
                 report.incarnation,
                 report.leaving,
-                report.holds_roles,
-                report.lacks_store,
+                report.holds_duty_lease,
+                report.store_unreachable,
                 report.store_seconds,
             )
         )
         work = {name: OpenWork(*counts) for name, counts in report.work.items()}
         self._fleet.note_peer(report.host, work, now)
-        self._demand.take_host(report.host, report.demand)
+        self._demand.update_host(report.host, report.demand)
         for prompt in report.prompts:
             self._fleet.note_prompt(prompt)
         self._ordered.take(report.roles, report.host)
         for host, ip in report.known:
             self._peers.learn(host, ip)
         self._take_version(report.host, report.ip, report.config_version)
-        if self.hearers.is_large_fleet():
+        if self.recipients.is_large_fleet():
             self._answer_stranger(report, joined)
         self._changed()
 
     def _answer_stranger(self, report: PeerReport, joined: bool) -> None:
         """Help a host that speaks to this one for want of others."""
-        if report.zone != self._me.zone and self.hearers.is_representative():
+        if report.zone != self._me.zone and self.recipients.is_representative():
             if self._now() - self._peers.peers[report.host].told_at < REPRESENTED_SECONDS:
                 # Its zone tells of it: it reports to a scheduler, or spoke to all.
                 return
             self._rosters.answer(self._make_summary(), report.ip)
         elif joined:
             # It may know nobody else yet.
-            self._send(self._list_work(), self.hearers.list_named([report.host]), with_known=True)
+            self._send(
+                self._list_work(), self.recipients.list_named([report.host]), with_known=True
+            )
 
     def _take_summary(self, summary: Summary, ip: str) -> None:
         """Take over what a representative says besides who lives."""
@@ -335,15 +339,18 @@
         member = Member(summary.host, ip, summary.zone, summary.link_mbps)
         holds = summary.role_holder == summary.host
         beat = Heartbeat(
-            member, summary.incarnation, holds_roles=holds, lacks_store=summary.lacks_store
+            member,
+            summary.incarnation,
+            holds_duty_lease=holds,
+            store_unreachable=summary.store_unreachable,
         )
         self._note_heard(beat)
-        for holder in self.hearers.list_named([summary.role_holder]):
-            holder.held_roles_at = now
-        if summary.zone == self._me.zone and self.hearers.is_representative():
-            self._demand.forget_zone(summary.zone)
+        for holder in self.recipients.list_named([summary.role_holder]):
+            holder.held_duty_lease_at = now
+        if summary.zone == self._me.zone and self.recipients.is_representative():
+            self._demand.drop_zone(summary.zone)
         else:
-            self._demand.take_zone(summary.zone, summary.demand, now)
+            self._demand.update_zone(summary.zone, summary.demand, now)
         self._ordered.take(summary.roles, summary.host)
         self._take_version(summary.host, ip, summary.config_version)
 
--- a/src/swifttrestle/internal/coordination/hosts.py
+++ b/src/swifttrestle/internal/coordination/hosts.py
@@ -7,7 +7,7 @@
 from swifttrestle.internal.protocol.platform import HostList
 
 
-class HostBook:
+class HostTracker:
     """Hosts that are missing from the host list for longer than it lags.
 
     The lag bounds how late a new host appears as well as how late a gone one disappears, so
--- a/src/swifttrestle/internal/coordination/leases.py
+++ b/src/swifttrestle/internal/coordination/leases.py
@@ -71,7 +71,7 @@
     return (token << FENCE_SHIFT) + sequence
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Campaigns for one lease and keeps it; used from one thread."""
 
     def __init__(
@@ -186,7 +186,7 @@
         return now - self._absent_since >= self._delay
 
     def _may_take(self, known: StoredObject, current: Lease) -> bool:
-        unchanged = self._clock.now() - self._cache.seen_at(LEASE, self.name)
+        unchanged = self._clock.now() - self._cache.unchanged_since(LEASE, self.name)
         if current.released or _is_over(current.holder, self._me):
             return unchanged >= self._delay
         return unchanged >= self._duration + self._margin + self._delay
@@ -196,7 +196,7 @@
         former = tuple(holder for holder in current.former if holder != self._me)
         left = replace(current, former=former)
         stored = write_once(self._api, LEASE, self.name, left.spec(), known.version)
-        self._cache.note_own_write(stored)
+        self._cache.apply_own_write(stored)
         log_change("former holder stepped back", lease=self.name)
 
     def _version(self) -> int:
@@ -209,7 +209,7 @@
         self.lease = lease
         self._valid_until = before + self._duration - self._margin
         self._renew_at = before + self._duration / RENEW_SHARE
-        self._cache.note_own_write(stored)
+        self._cache.apply_own_write(stored)
 
     def _won(self) -> None:
         self._absent_since = None
--- a/src/swifttrestle/internal/coordination/listing_relay.py
+++ b/src/swifttrestle/internal/coordination/listing_relay.py
@@ -35,11 +35,13 @@
         """Hand changes from other hosts to `take`."""
         self._socket.receive(DatagramKind.LISTING, lambda data, _: take(unpack_changes(data)))
 
-    def watches(self) -> bool:
+    def should_watch(self) -> bool:
         """Return whether this host is to watch the list itself."""
-        return not is_large_fleet(len(self._list_members())) or self._has_duty() or self.tells()
+        return (
+            not is_large_fleet(len(self._list_members())) or self._has_duty() or self.should_relay()
+        )
 
-    def tells(self) -> bool:
+    def should_relay(self) -> bool:
         """Return whether this host is to watch the list for others too."""
         members = self._list_members()
         if not is_large_fleet(len(members)):
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -21,7 +21,7 @@
 )
 from swifttrestle.internal.checks import split_address
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.coordination.conditional_writes import change_object, read_or_none
+from swifttrestle.internal.coordination.conditional_writes import read_or_none, update_object
 from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.logs import log_change, log_fault
 from swifttrestle.internal.metrics import Metrics
@@ -59,7 +59,7 @@
     heard_at: float
 
 
-class OpenCounter:
+class OpenRequestCounter:
     """Counts this process's open requests on an upstream; the entry has its own."""
 
     def count_open(self, upstream: str) -> int:
@@ -79,7 +79,7 @@
         cache: ObjectCache,
         config: ConfigStore,
         closings: ClosingTable,
-        counter: OpenCounter,
+        counter: OpenRequestCounter,
         clock: Clock,
         metrics: Metrics,
         heartbeat: float,
@@ -165,7 +165,7 @@
         self._stopped.set()
         self.announce()
 
-    def clear_gone(self, is_gone: Callable[[str], bool]) -> None:
+    def delete_gone_members(self, is_gone: Callable[[str], bool]) -> None:
         """Delete the objects of silent processes whose hosts are proved gone."""
         for stored in self._cache.all(MEMBER):
             identity = read_member(stored)
@@ -187,7 +187,7 @@
             return {**vars(self.identity)}
 
         try:
-            change_object(self._api, MEMBER, self.identity.name, write_mine)
+            update_object(self._api, MEMBER, self.identity.name, write_mine)
         except (PlatformUnavailableError, ConflictError):
             return False
         self.registered.set()
@@ -332,7 +332,7 @@
         return None
 
 
-def take_incarnation(api: ObjectApi, name: str) -> int:
+def choose_incarnation(api: ObjectApi, name: str) -> int:
     """Return an incarnation above that of any earlier run of this name that is on record."""
     now = time.time_ns() // 1000
     try:
--- a/src/swifttrestle/internal/coordination/object_cache.py
+++ b/src/swifttrestle/internal/coordination/object_cache.py
@@ -15,8 +15,8 @@
 from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.platform import ObjectApi, StoredObject
 
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 5.0
+FIRST_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 5.0
 Listener = Callable[[StoredObject, bool], None]
 
 
@@ -55,7 +55,7 @@
             found = self._objects.get((kind, name))
         return found[0] if found else None
 
-    def seen_at(self, kind: str, name: str) -> float:
+    def unchanged_since(self, kind: str, name: str) -> float:
         """Return the local time since which this version stands while the watch lives.
 
         The time starts anew when a broken watch comes back: a holder that could not renew
@@ -82,7 +82,9 @@
                     log_fault("object API lost", reason=str(error))
                 self.connected = False
             failures += 1
-            self._stopped.wait(draw_backoff(self._random, failures, FIRST_PAUSE, LONGEST_PAUSE))
+            self._stopped.wait(
+                draw_backoff(self._random, failures, FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
+            )
 
     def _list_all(self) -> int:
         since: int | None = None
@@ -128,6 +130,6 @@
         for listener in self._listeners:
             listener(item, deleted)
 
-    def note_own_write(self, item: StoredObject) -> None:
+    def apply_own_write(self, item: StoredObject) -> None:
         """Take over an object that this process has just written."""
         self._note(item, deleted=False)
--- a/src/swifttrestle/internal/coordination/orders.py
+++ b/src/swifttrestle/internal/coordination/orders.py
@@ -112,5 +112,5 @@
 
     def _write(self, order: Order) -> Order:
         stored = write_once(self._api, ORDER, order.engine, order.spec(), order.version)
-        self._cache.note_own_write(stored)
+        self._cache.apply_own_write(stored)
         return replace(order, version=stored.version)
--- a/src/swifttrestle/internal/coordination/pools.py
+++ b/src/swifttrestle/internal/coordination/pools.py
@@ -21,8 +21,8 @@
 )
 from swifttrestle.internal.clock import Clock
 from swifttrestle.internal.coordination.engine_views import EngineView, PoolStatus, show_view
-from swifttrestle.internal.coordination.hosts import HostBook
-from swifttrestle.internal.coordination.leases import Holder, LeaseKeeper, make_fence
+from swifttrestle.internal.coordination.hosts import HostTracker
+from swifttrestle.internal.coordination.leases import Holder, LeaseManager, make_fence
 from swifttrestle.internal.coordination.membership import MEMBER, Membership, read_member
 from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.coordination.orders import Order, OrderLog, Stage
@@ -44,7 +44,7 @@
 
 SILENT_ENTRY_PATIENCE = 20.0
 UNSEEN_SECONDS = 5.0
-EngineMaker = Callable[[Upstream], Engine]
+EngineFactory = Callable[[Upstream], Engine]
 
 
 def make_http_engine(upstream: Upstream) -> Engine:
@@ -58,17 +58,17 @@
     def __init__(
         self,
         name: str,
-        lease: LeaseKeeper,
+        lease: LeaseManager,
         *,
         log: OrderLog,
         cache: ObjectCache,
         membership: Membership,
         closings: ClosingTable,
-        hosts: HostBook,
+        hosts: HostTracker,
         planner: RolePlanner,
         clock: Clock,
         metrics: Metrics,
-        make_engine: EngineMaker = make_http_engine,
+        make_engine: EngineFactory = make_http_engine,
     ) -> None:
         """Prepare; nothing happens before `tick`."""
         self.name = name
--- a/src/swifttrestle/internal/coordination/prompt_cache_loader.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -27,7 +27,7 @@
 )
 
 # Seconds between two looks for the first listed engines.
-LOOK_SECONDS = 0.05
+POLL_SECONDS = 0.05
 # Longest random wait of a host before it asks, in seconds: hosts that start together must not
 # hold one engine up together, and it is a fraction of what reading the parts again would take.
 SPREAD_SECONDS = 0.2
@@ -40,7 +40,7 @@
 LARGEST_LIST = 1024 * 1024
 
 
-class KeptPartsLoader:
+class PromptCacheLoader:
     """Fills the beliefs of a host that has just started."""
 
     def __init__(
@@ -63,7 +63,7 @@
     async def run(self) -> None:
         """Ask once, as soon as engines are listed."""
         while not self._fleet.list_engine_services():
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         await asyncio.sleep(SPREAD_SECONDS * self._rng.random())
         if not self._books():
             return
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -78,7 +78,7 @@
         guard.announce_clearance = self._tell_acquittal
         socket.receive(DatagramKind.CRASHES, self._receive)
 
-    def ask_soon(self) -> None:
+    def request_sync(self) -> None:
         """Ask peers for what they keep from upstreams, in the next turns."""
         self._asks = ASKS
 
@@ -91,7 +91,7 @@
             now = _now()
             if now - before > PUSH_SECONDS + SLEPT_SECONDS:
                 log_decision("slept", seconds=round(now - before - PUSH_SECONDS, 2))
-                self.ask_soon()
+                self.request_sync()
             if now >= expire_at:
                 self._guard.quarantine.expire(now)
                 expire_at = now + EXPIRE_SECONDS
@@ -155,13 +155,13 @@
             self._changed()
         self._send(CrashNews(acquittals=(Acquittal(name, at),)), others)
 
-    def _tell(self, cases: Iterable[Case], hearers: Sequence[Member]) -> None:
+    def _tell(self, cases: Iterable[Case], recipients: Sequence[Member]) -> None:
         for news in split_cases(cases):
-            self._send(news, hearers)
+            self._send(news, recipients)
 
-    def _send(self, news: CrashNews, hearers: Iterable[Member]) -> None:
+    def _send(self, news: CrashNews, recipients: Iterable[Member]) -> None:
         data = pack_news(news, _now())
-        for hearer in hearers:
+        for hearer in recipients:
             self._socket.send(hearer.ip, DatagramKind.CRASHES, data)
 
     def _list_others(self) -> list[Member]:
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -13,7 +13,7 @@
 from swifttrestle.errors import BadEntryError, NotFoundError
 from swifttrestle.internal.checks import LARGEST_SIGNED, check_text, check_whole
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.coordination.store_retry import try_until_done
+from swifttrestle.internal.coordination.store_retry import retry_until_done
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.policy.placement import rank
@@ -63,12 +63,12 @@
 
     async def run(self) -> None:
         """Read once, then write for as long as the process lives."""
-        await try_until_done(self._load, NOT_KEPT, self._rng)
+        await retry_until_done(self._load, NOT_KEPT, self._rng)
         while True:
             await self._changed.wait()
             await asyncio.sleep(GATHER_SECONDS)
             self._changed.clear()
-            await try_until_done(self._save, NOT_KEPT, self._rng)
+            await retry_until_done(self._save, NOT_KEPT, self._rng)
 
     async def _load(self) -> None:
         known = await self._read()
--- a/src/swifttrestle/internal/coordination/recipients.py
+++ b/src/swifttrestle/internal/coordination/recipients.py
@@ -21,7 +21,7 @@
 SCHEDULERS_SECONDS = 2.0
 
 
-class Hearers:
+class ReportRecipients:
     """Chooses hearers by the members and schedulers as this host sees them."""
 
     def __init__(
@@ -86,14 +86,14 @@
         """
         zone = self._me.zone
         untold = self.is_untold(now)
-        hearers = self._representatives.list_own()
+        recipients = self._representatives.list_own()
         if told:
-            hearers |= self._schedulers
+            recipients |= self._schedulers
         if untold or (told and self.schedules):
-            hearers |= {peer.host for peer in self._peers.list_seen(now) if peer.zone == zone}
+            recipients |= {peer.host for peer in self._peers.list_seen(now) if peer.zone == zone}
         if untold:
-            hearers |= self._representatives.list_others()
-        return self.list_named(hearers)
+            recipients |= self._representatives.list_others()
+        return self.list_named(recipients)
 
     def list_for_summary(self) -> list[Member]:
         """Return who hears a summary of this host: its zone, and other representatives."""
--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -7,7 +7,7 @@
 from swifttrestle.errors import BadEntryError, NotFoundError
 from swifttrestle.internal.checks import check_text
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.coordination.store_retry import try_until_done
+from swifttrestle.internal.coordination.store_retry import retry_until_done
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.peers import PeerTable
 from swifttrestle.platform.objects import StoredObject
@@ -36,7 +36,7 @@
         for item in snapshot.items:
             _learn_peer(item, peers, skipped)
 
-    await try_until_done(write_and_learn, "peers not read", rng)
+    await retry_until_done(write_and_learn, "peers not read", rng)
 
 
 async def restore_registration(
@@ -44,7 +44,7 @@
 ) -> None:
     """Have this host's address stand in a store that came back from a copy, as one of `hosts`."""
     await asyncio.sleep(rng.random() * hosts * RETURN_SECONDS_PER_HOST)
-    await try_until_done(lambda: _write_record(store, me), "own address not kept", rng)
+    await retry_until_done(lambda: _write_record(store, me), "own address not kept", rng)
 
 
 async def _write_record(store: ObjectStore, me: Member) -> None:
--- a/src/swifttrestle/internal/coordination/removals.py
+++ b/src/swifttrestle/internal/coordination/removals.py
@@ -18,9 +18,9 @@
 
 # Seconds after an outage in which lapsed upstreams may come back before they count as gone;
 # the platform promises about two.
-RETURN_SECONDS = 2.2
+REREGISTRATION_SECONDS = 2.2
 # Seconds between looks at what is held back: a peer may prove meanwhile that there was no outage.
-LOOK_SECONDS = 0.2
+POLL_SECONDS = 0.2
 
 
 @dataclass(frozen=True)
@@ -69,11 +69,11 @@
 
     def note_epoch(self, now: float) -> None:
         """Take over that the store came back from a copy, whoever it answered meanwhile."""
-        self._incomplete_until = now + RETURN_SECONDS
+        self._incomplete_until = now + REREGISTRATION_SECONDS
 
     def find_trusted_from(self) -> float:
         """Return the time from which a missing record is one that was withdrawn."""
-        by_own = max(self._returned_at + RETURN_SECONDS, self._incomplete_until)
+        by_own = max(self._returned_at + REREGISTRATION_SECONDS, self._incomplete_until)
         return min(by_own, self._find_trusted_by_peers())
 
     def _find_trusted_by_peers(self) -> float:
@@ -81,7 +81,7 @@
         up_since = self._find_up_since()
         # A peer that the store answered all the while shows that only this host's path was cut;
         # without its word a host sent requests to an instance for 2.8 s after it had left.
-        by_peers = NEVER if up_since <= self._lost_at else up_since + RETURN_SECONDS
+        by_peers = NEVER if up_since <= self._lost_at else up_since + REREGISTRATION_SECONDS
         return max(by_peers, self._incomplete_until)
 
     def restore(self, name: str) -> bool:
@@ -114,7 +114,7 @@
 
     def _look_later(self) -> None:
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(LOOK_SECONDS, self._look)
+            self._timer = asyncio.get_running_loop().call_later(POLL_SECONDS, self._look)
 
     def _look(self) -> None:
         """Drop what is due, by a timer: the next answer of the store may be seconds away."""
--- a/src/swifttrestle/internal/coordination/role_orders.py
+++ b/src/swifttrestle/internal/coordination/role_orders.py
@@ -13,7 +13,7 @@
 SAME_ORDER_SECONDS = 0.5
 
 
-class OrderedRoles:
+class RoleOrders:
     """The orders of late, each with the loop's time at which its engine should have the role."""
 
     def __init__(self, fleet: Fleet, now: Callable[[], float]) -> None:
@@ -32,7 +32,7 @@
             self._orders[engine] = (role, ready_at)
         self._fleet.note_ordered_role(engine, *self._orders[engine])
 
-    def list_told(self) -> dict[str, tuple[str, float]]:
+    def list_recent(self) -> dict[str, tuple[str, float]]:
         """Return what to tell peers: the role, and the seconds until or since its engine has it."""
         now = self._now()
         self._orders = {
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -10,7 +10,7 @@
     PlatformUnavailableError,
     UpstreamBrokenError,
 )
-from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.coordination.gossip import Gossip
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.ejection import Ejector
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        lease: DutyLeaseKeeper,
+        lease: DutyLeaseManager,
         fleet: Fleet,
         demand: DemandMeter,
         ejector: Ejector,
@@ -105,8 +105,8 @@
                 await self._tick()
             except (PlatformUnavailableError, LeaseLostError) as error:
                 # Should the lease still be this host's, the next write on it will show that.
-                self._candidates.holds_roles = False
-                self._gossip.note_store_lost(STORE_LOST_SECONDS)
+                self._candidates.holds_duty_lease = False
+                self._gossip.mark_store_unreachable(STORE_LOST_SECONDS)
                 log_decision("role planning waits", reason=str(error))
                 await asyncio.sleep(TICK_SECONDS)
 
@@ -115,7 +115,7 @@
         configuration = self._find_configuration()
         if configuration is None:
             return
-        if self._candidates.holds_roles and self._is_store_away():
+        if self._candidates.holds_duty_lease and self._is_store_away():
             # Orders could not be written down, and the list here is an old one.
             raise PlatformUnavailableError("the store is away")
         reclaims = self._lease.reclaims() and not self._candidates.leaving
@@ -124,9 +124,9 @@
             return
         # The lease is held before it is needed: a takeover waits for seconds, in which the
         # last decoding engine may leave and the store may go away.
-        before = self._candidates.holds_roles
-        self._candidates.holds_roles = await self._lease.campaign()
-        if not self._candidates.holds_roles:
+        before = self._candidates.holds_duty_lease
+        self._candidates.holds_duty_lease = await self._lease.campaign()
+        if not self._candidates.holds_duty_lease:
             return
         if not before:
             self._take_over_orders()
--- a/src/swifttrestle/internal/coordination/store_availability.py
+++ b/src/swifttrestle/internal/coordination/store_availability.py
@@ -7,7 +7,7 @@
 FRESH_SECONDS = 3.0
 
 
-class StoreContact:
+class StoreAvailability:
     """The answers of the store to this host's regular calls; times are the loop's."""
 
     def __init__(self) -> None:
@@ -16,13 +16,13 @@
         # The last answer, minus infinity after a break.
         self.answered_at = NEVER
 
-    def note_answer(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Take over that the store has answered."""
         if now - self.answered_at > FRESH_SECONDS:
             self._since = now
         self.answered_at = now
 
-    def note_break(self) -> None:
+    def record_outage(self) -> None:
         """Take over that a call was not answered, or that no more calls are made for now.
 
         A host that makes none cannot vouch for the store: an outage of two seconds would lie
@@ -30,7 +30,7 @@
         """
         self.answered_at = NEVER
 
-    def count_seconds(self, now: float) -> float:
+    def find_available_seconds(self, now: float) -> float:
         """Return for how many seconds the store has answered without a break, 0 where it does not.
 
         Peers take it as proof that the store was there in that time.
--- a/src/swifttrestle/internal/coordination/store_retry.py
+++ b/src/swifttrestle/internal/coordination/store_retry.py
@@ -12,7 +12,7 @@
 RETRY_SECONDS = 1.0
 
 
-async def try_until_done(
+async def retry_until_done(
     act: Callable[[], Awaitable[None]], event: str, rng: random.Random
 ) -> None:
     """Do `act`, and again with a line of `event` where the store, or another write, kept it off."""
--- a/src/swifttrestle/internal/coordination/usage.py
+++ b/src/swifttrestle/internal/coordination/usage.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from swifttrestle.errors import LeaseLostError
-from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.usage_windows import (
@@ -38,7 +38,7 @@
         self,
         source: str,
         socket: PeerSocket,
-        lease: DutyLeaseKeeper,
+        lease: DutyLeaseManager,
         calls: DutyCalls | None,
         list_collectors: Callable[[], Sequence[Member]],
         holds_duties: Callable[[], bool],
@@ -66,7 +66,7 @@
         self._drafted_at = float("-inf")
         socket.receive(DatagramKind.USAGE, lambda data, _: self.meter.take(unpack_counts(data)))
 
-    def note_run(self, workspace: str) -> None:
+    def count_request(self, workspace: str) -> None:
         """Count one request that has begun to run now."""
         if self._calls is not None and self._seconds:
             self.meter.note(workspace, self._find_window(self._true_time.now()))
--- a/src/swifttrestle/internal/coordination/zone_demand.py
+++ b/src/swifttrestle/internal/coordination/zone_demand.py
@@ -27,11 +27,11 @@
         heard = [item.host for item in self._peers.list_heard(now) if item.zone == zone]
         return _write_offered(self._meter.sum_of(heard, now))
 
-    def take_host(self, host: str, offered: Offered) -> None:
+    def update_host(self, host: str, offered: Offered) -> None:
         """Take over what one host is offered."""
         self._meter.note_peer(host, _read_offered(offered))
 
-    def take_zone(self, zone: str, offered: Offered, now: float) -> None:
+    def update_zone(self, zone: str, offered: Offered, now: float) -> None:
         """Take over what a zone is offered, in place of what its hosts told one by one."""
         for peer in self._peers.peers.values():
             if peer.zone == zone:
@@ -43,7 +43,7 @@
         self._meter.note_peer(_name_zone(zone), sums)
         self._told_at[zone] = now
 
-    def forget_zone(self, zone: str) -> None:
+    def drop_zone(self, zone: str) -> None:
         """Drop a zone's sum: this host hears its hosts one by one."""
         if self._told_at.pop(zone, None) is not None:
             self._meter.forget_peer(_name_zone(zone))
@@ -55,7 +55,7 @@
                 self._meter.forget_peer(peer.host)
         for zone, at in list(self._told_at.items()):
             if now - at >= SILENCE_SECONDS:
-                self.forget_zone(zone)
+                self.drop_zone(zone)
 
 
 def _name_zone(zone: str) -> str:
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -52,19 +52,20 @@
         find_table: Callable[[], RouteTable | None],
         find_confirmed_at: Callable[[], float] = lambda: float("-inf"),
         revocation_bound: float = float("inf"),
-        note_run: Callable[[str], None] | None = None,
+        count_request: Callable[[str], None] | None = None,
     ) -> None:
         """Book engines by `booker`; read the route table in force by `find_table`.
 
         `find_confirmed_at` tells when that table was last proved to be of the newest version, and
-        `revocation_bound` for how many seconds after its removal a key may be served. `note_run`
+        `revocation_bound` for how many seconds after its removal a key may be served.
+        `count_request`
         is called with the workspace of each request that begins to run.
         """
         self._state = parts
         self._find_table = find_table
         self._find_confirmed_at = find_confirmed_at
         self._revocation_bound = revocation_bound
-        self._note_run = note_run
+        self._count_request = count_request
         self._plain = PlainForwarder(parts)
         self._engines = EngineForwarder(parts, booker)
         # The loop's time at which this process ends, once a planned stop has come so far.
@@ -124,7 +125,7 @@
             table.configuration.version,
             urgent=table.is_urgent(route, service.name, workspace),
             workspace=workspace,
-            on_run=self._note_run,
+            on_run=self._count_request,
         )
 
     def _find_workspace(
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from swifttrestle.internal.coordination.configuration import ConfigurationKeeper
+from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.coordination.discovery import Discovery
 from swifttrestle.internal.coordination.duties import Duties
 from swifttrestle.internal.coordination.gossip import Gossip
@@ -30,7 +30,7 @@
         host: str,
         is_ready: Callable[[], bool],
         parts: GatewayState,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationWatcher,
         gossip: Gossip,
         discovery: Discovery,
         duties: Duties,
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -14,9 +14,9 @@
 from swifttrestle.internal.coordination.membership import (
     MEMBER,
     Membership,
-    OpenCounter,
+    OpenRequestCounter,
     bind_listener,
-    take_incarnation,
+    choose_incarnation,
 )
 from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.logs import log_change, setup_logs
@@ -46,7 +46,7 @@
         settings: Settings,
         role: str,
         kinds: tuple[str, ...],
-        counter: OpenCounter,
+        counter: OpenRequestCounter,
         closings: ClosingTable,
     ) -> None:
         """Bind the peer port and prepare; `start` begins."""
@@ -66,7 +66,7 @@
             settings.host,
             settings.zone,
             settings.peer_advertise or f"{host}:{port}",
-            take_incarnation(self.api, settings.name),
+            choose_incarnation(self.api, settings.name),
         )
         seed = random.Random(settings.name).getrandbits(32)
         self.cache = ObjectCache(self.api, (MEMBER, ACCEPTED, *kinds), self.clock, seed)
--- a/src/swifttrestle/internal/protocol/freshness.py
+++ b/src/swifttrestle/internal/protocol/freshness.py
@@ -38,13 +38,13 @@
 LONGEST_SECONDS = 1e12
 
 
-def pack_question(question: BeliefQuestion) -> bytes:
+def pack_freshness_query(question: BeliefQuestion) -> bytes:
     """Return the datagram of a question."""
     data: bytes = msgpack.packb([question.asked_at, question.wall])
     return data
 
 
-def pack_answer(answer: BeliefAnswer) -> bytes:
+def pack_freshness_reply(answer: BeliefAnswer) -> bytes:
     """Return the datagram of an answer."""
     data: bytes = msgpack.packb([answer.asked_at, answer.version, answer.age, answer.wall])
     return data
--- a/src/swifttrestle/internal/protocol/gossip.py
+++ b/src/swifttrestle/internal/protocol/gossip.py
@@ -16,7 +16,8 @@
 class PeerReport:
     """What one gateway tells its peers.
 
-    `holds_roles` says that the sender holds the lease on engines' roles, `lacks_store` that it
+    `holds_duty_lease` says that the sender holds the lease on engines' roles, `store_unreachable`
+    that it
     cannot reach the store now, `store_seconds` for how long the store has answered it without a
     break (0 where it does not). `work` maps an upstream instance to its open prompt tokens and
     requests; `demand` maps a service to the prompt tokens a second, the decode slots and those of
@@ -33,8 +34,8 @@
     incarnation: int
     config_version: int
     leaving: bool
-    holds_roles: bool
-    lacks_store: bool
+    holds_duty_lease: bool
+    store_unreachable: bool
     store_seconds: float
     work: dict[str, tuple[int, int]]
     demand: dict[str, tuple[float, float, float]]
@@ -53,8 +54,8 @@
         report.incarnation,
         report.config_version,
         report.leaving,
-        report.holds_roles,
-        report.lacks_store,
+        report.holds_duty_lease,
+        report.store_unreachable,
         report.store_seconds,
         report.work,
         report.demand,
@@ -84,8 +85,8 @@
             int(incarnation),
             int(version),
             bool(leaving),
-            bool(holds_roles),
-            bool(lacks_store),
+            bool(holds_duty_lease),
+            bool(store_unreachable),
             float(store_seconds),
             dict(work),
             dict(offered),
@@ -101,8 +102,8 @@
                 incarnation,
                 version,
                 leaving,
-                holds_roles,
-                lacks_store,
+                holds_duty_lease,
+                store_unreachable,
                 store_seconds,
                 _read_work(work),
                 _read_demand(offered),
--- a/src/swifttrestle/internal/protocol/rosters.py
+++ b/src/swifttrestle/internal/protocol/rosters.py
@@ -73,7 +73,7 @@
     link_mbps: float
     incarnation: int
     config_version: int
-    lacks_store: bool
+    store_unreachable: bool
     role_holder: str
     own: Mark
     others: tuple[Mark, ...] = ()
@@ -123,7 +123,7 @@
                 message.link_mbps,
                 message.incarnation,
                 message.config_version,
-                message.lacks_store,
+                message.store_unreachable,
                 message.role_holder,
                 marks,
                 message.demand,
@@ -150,10 +150,11 @@
     match values:
         case [
             RosterMessageKind.SUMMARY, str(host), str(zone), float(link), int(incarnation),
-            int(version), bool(lacks_store), str(holder), [own, *others], dict(demand), dict(roles),
+            int(version), bool(store_unreachable), str(holder), [own, *others], dict(demand),
+            dict(roles),
         ]:  # fmt: skip
             return Summary(
-                host, zone, link, incarnation, version, lacks_store, holder,
+                host, zone, link, incarnation, version, store_unreachable, holder,
                 _read_mark(own), tuple(map(_read_mark, others)),
                 {
                     str(name): (float(read), float(slots), float(read_slots))
--- a/src/swifttrestle/internal/settings_file.py
+++ b/src/swifttrestle/internal/settings_file.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 
 # Seconds between two looks at the file.
-LOOK_SECONDS = 1.0
+POLL_SECONDS = 1.0
 
 
 async def watch_settings_file(path: Path, changed: Callable[[], None]) -> None:
     """Call `changed` after each change of the file, for as long as the process lives."""
     seen = _read_change_time(path)
     while True:
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
         now = _read_change_time(path)
         if now != seen:
             seen = now
--- a/src/swifttrestle/internal/state/peers.py
+++ b/src/swifttrestle/internal/state/peers.py
@@ -36,8 +36,8 @@
     heard_at: float = NEVER
     told_at: float = NEVER
     leaving_at: float = NEVER
-    held_roles_at: float = NEVER
-    lacked_store_at: float = NEVER
+    held_duty_lease_at: float = NEVER
+    store_unreachable_at: float = NEVER
     # Since when the store has answered it without a break, by its own word, and when it said so.
     store_since: float = UNKNOWN
     store_told_at: float = NEVER
@@ -54,13 +54,13 @@
         """Return whether it takes part: seen, and not leaving."""
         return self.is_seen(now) and now - self.leaving_at >= LEAVING_SECONDS
 
-    def holds_roles(self, now: float) -> bool:
+    def holds_duty_lease(self, now: float) -> bool:
         """Return whether it was said of late to hold the lease on roles."""
-        return now - self.held_roles_at < SILENCE_SECONDS
+        return now - self.held_duty_lease_at < SILENCE_SECONDS
 
-    def lacks_store(self, now: float) -> bool:
+    def store_unreachable(self, now: float) -> bool:
         """Return whether it said of late that it cannot reach the store."""
-        return now - self.lacked_store_at < SILENCE_SECONDS
+        return now - self.store_unreachable_at < SILENCE_SECONDS
 
 
 @dataclass(frozen=True)
@@ -74,8 +74,8 @@
     member: Member
     incarnation: int
     leaving: bool = False
-    holds_roles: bool = False
-    lacks_store: bool = False
+    holds_duty_lease: bool = False
+    store_unreachable: bool = False
     store_seconds: float | None = None
 
 
@@ -115,8 +115,8 @@
         peer.incarnation = beat.incarnation
         peer.heard_at = now
         peer.leaving_at = now if beat.leaving else NEVER
-        peer.held_roles_at = now if beat.holds_roles else NEVER
-        peer.lacked_store_at = now if beat.lacks_store else NEVER
+        peer.held_duty_lease_at = now if beat.holds_duty_lease else NEVER
+        peer.store_unreachable_at = now if beat.store_unreachable else NEVER
         if beat.store_seconds is not None:
             peer.store_since = now - beat.store_seconds if beat.store_seconds > 0 else UNKNOWN
             peer.store_told_at = now
--- a/src/swifttrestle/internal/state/upstreams.py
+++ b/src/swifttrestle/internal/state/upstreams.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.coordination.membership import OpenCounter
+from swifttrestle.internal.coordination.membership import OpenRequestCounter
 from swifttrestle.internal.policy.ejection import Ejector
 from swifttrestle.internal.policy.routing import (
     DEFAULT_PREFILL_RATE,
@@ -59,7 +59,7 @@
     exclude: frozenset[str] = frozenset()
 
 
-class UpstreamTable(OpenCounter):
+class UpstreamTable(OpenRequestCounter):
     """All upstreams of one entry."""
 
     def __init__(self, zone: str, closings: ClosingTable, clock: Clock) -> None:
--- a/src/swifttrestle/internal/stopping.py
+++ b/src/swifttrestle/internal/stopping.py
@@ -6,7 +6,7 @@
 # Seconds between two looks of the main thread. Python runs signal handlers in the main thread
 # alone, and the system may give a signal to any thread: a main thread that waits without a bound
 # is not woken then, and the process runs on until it is killed.
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 
 
 def catch_stop_signals(stopping: threading.Event) -> None:
@@ -17,5 +17,5 @@
 
 def wait_until_stopped(stopping: threading.Event) -> None:
     """Wait for the event; call this in the main thread."""
-    while not stopping.wait(LOOK_SECONDS):
+    while not stopping.wait(POLL_SECONDS):
         pass
--- a/tests/common/discovery.py
+++ b/tests/common/discovery.py
@@ -27,10 +27,10 @@
     def receive(self, take):
         self.take = take
 
-    def watches(self):
+    def should_watch(self):
         return True
 
-    def tells(self):
+    def should_relay(self):
         return False
 
     def send(self, changes):
--- a/tests/common/fakes.py
+++ b/tests/common/fakes.py
@@ -83,11 +83,11 @@
             self._seen[kind, name] = (found.version, self._clock.now())
         return found
 
-    def seen_at(self, kind, name):
+    def unchanged_since(self, kind, name):
         self.get(kind, name)
         return self._seen[kind, name][1]
 
-    def note_own_write(self, item):
+    def apply_own_write(self, item):
         self.get(item.kind, item.name)
 
 
--- a/tests/cover/test_entries.py
+++ b/tests/cover/test_entries.py
@@ -194,7 +194,7 @@
         self.told = []
         relay = Alone()
         relay.send = self.told.append
-        relay.tells = lambda: True
+        relay.should_relay = lambda: True
         self.discovery = Discovery(
             self.store,
             self.fleet,
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -11,7 +11,7 @@
     NotFoundError,
     PlatformUnavailableError,
 )
-from swifttrestle.internal.coordination.duty_lease import DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.forward.gateway_state import RetryBudgets
 from swifttrestle.internal.policy.placement import pick_decoder, pick_plain, pick_prefill_engine
 from swifttrestle.internal.policy.queueing import AdmissionQueue
@@ -339,8 +339,8 @@
 
 
 def keep(store, host):
-    keeper = DutyLeaseKeeper(store, "roles", host, 1, DURATION, skip_silently())
-    keeper._wait = DURATION
+    keeper = DutyLeaseManager(store, "roles", host, 1, DURATION, skip_silently())
+    keeper._takeover_seconds = DURATION
     return keeper
 
 
@@ -373,7 +373,7 @@
             assert not await second.campaign()
             await asyncio.sleep(DURATION / 2)
             await first.record("e", "prefill")
-            second._look_at = 0.0
+            second._next_read_at = 0.0
         assert not await second.campaign()
 
     asyncio.run(act())
--- a/tests/cover/test_hosts.py
+++ b/tests/cover/test_hosts.py
@@ -1,7 +1,7 @@
 """The host list as a proof of death."""
 
 from swifttrestle.errors import PlatformUnavailableError
-from swifttrestle.internal.coordination.hosts import HostBook
+from swifttrestle.internal.coordination.hosts import HostTracker
 from swifttrestle.internal.protocol.platform import HostRecord
 from tests.common.fakes import FakeClock
 
@@ -21,7 +21,7 @@
 
 def make_book():
     hosts, clock = Hosts(), FakeClock()
-    book = HostBook(hosts, clock, LAG)
+    book = HostTracker(hosts, clock, LAG)
     book.refresh()
     return hosts, clock, book
 
--- a/tests/cover/test_kept_parts.py
+++ b/tests/cover/test_kept_parts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.coordination.prompt_cache_loader import MOST_ASKED, KeptPartsLoader
+from swifttrestle.internal.coordination.prompt_cache_loader import MOST_ASKED, PromptCacheLoader
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.prompt_cache import PromptPart
@@ -62,7 +62,7 @@
             record = UpstreamRecord(f"e{number}", "s", address, "a", 40, False, Role.PREFILL)
             fleet.put(record)
         fleet.put(UpstreamRecord("plain", "t", address, "a", 40, False))
-        loader = KeptPartsLoader(
+        loader = PromptCacheLoader(
             "a", fleet, ConnectionPool(), lambda: schedules_engines, random.Random(1)
         )
         async with asyncio.timeout(20):
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -3,8 +3,8 @@
 import pytest
 
 from swifttrestle.errors import ConflictError, LeaseLostError
-from swifttrestle.internal.coordination.conditional_writes import change_object, write_once
-from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseKeeper, make_fence
+from swifttrestle.internal.coordination.conditional_writes import update_object, write_once
+from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseManager, make_fence
 from tests.common.fakes import FakeApi, FakeCache, FakeClock
 
 DURATION, MARGIN = 9.0, 1.0
@@ -22,7 +22,7 @@
     def make(self, name, incarnation):
         cache = FakeCache(self.api, self.clock)
         me = Holder(name, f"host-{name}", incarnation)
-        return LeaseKeeper(
+        return LeaseManager(
             self.api, cache, "pool", me, self.clock, duration=DURATION, margin=MARGIN
         )
 
@@ -146,4 +146,4 @@
         return {"mine": 1}
 
     with pytest.raises(ConflictError):
-        change_object(api, "k", "n", change)
+        update_object(api, "k", "n", change)
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -6,9 +6,9 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.coordination.candidates import RoleCandidates
-from swifttrestle.internal.coordination.role_orders import OrderedRoles
+from swifttrestle.internal.coordination.role_orders import RoleOrders
 from swifttrestle.internal.coordination.rosters import Rosters
-from swifttrestle.internal.coordination.store_availability import StoreContact
+from swifttrestle.internal.coordination.store_availability import StoreAvailability
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
 from swifttrestle.internal.policy.scheduling import list_representatives
 from swifttrestle.internal.protocol.rosters import (
@@ -377,7 +377,7 @@
 def make_orders(clock, role=Role.PREFILL):
     fleet = Fleet()
     fleet.put(UpstreamRecord("i", "s", ("127.0.0.1", 1), "a", 8, False, role))
-    return fleet.instances["i"], OrderedRoles(fleet, lambda: clock[0])
+    return fleet.instances["i"], RoleOrders(fleet, lambda: clock[0])
 
 
 def test_an_order_that_goes_from_host_to_host_does_not_last_longer_for_it():
@@ -387,10 +387,10 @@
     first.note("i", Role.DECODE, 11.0)
     for _ in range(200):
         clock[0] += 0.1
-        second.take(first.list_told(), "first")
-        first.take(second.list_told(), "second")
-    assert not first.list_told()
-    assert not second.list_told()
+        second.take(first.list_recent(), "first")
+        first.take(second.list_recent(), "second")
+    assert not first.list_recent()
+    assert not second.list_recent()
 
 
 def test_a_newer_order_takes_the_place_of_an_older_one_and_not_the_other_way_round():
@@ -399,7 +399,7 @@
     orders.note("i", Role.DECODE, 15.0)
     orders.take({"i": ("prefill", 1.0)}, "late peer")
     assert engine.role is Role.DECODE
-    assert orders.list_told() == {"i": ("decode", 5.0)}
+    assert orders.list_recent() == {"i": ("decode", 5.0)}
     orders.take({"i": ("prefill", 9.0)}, "peer")
     assert engine.role is Role.PREFILL
 
@@ -418,8 +418,8 @@
     table, meter = PeerTable(ME), DemandMeter()
     zones = ZoneDemand(ME, table, meter)
     table.note_heard(beat(FAR), 10.0)
-    zones.take_host("far", {"s": (100.0, 1.0, 0.0)})
-    zones.take_zone("b", {"s": (300.0, 3.0, 1.0)}, 10.0)
+    zones.update_host("far", {"s": (100.0, 1.0, 0.0)})
+    zones.update_zone("b", {"s": (300.0, 3.0, 1.0)}, 10.0)
     assert meter.total("s", 10.0) == Demand(300.0, 3.0, 1.0)
 
 
@@ -428,14 +428,14 @@
     zones = ZoneDemand(ME, table, meter)
     meter.note_arrival("s", "route", 4000, 10.0)
     own = meter.own(10.0)["s"]
-    zones.take_zone("a", {"s": (own.read_tokens + 500.0, own.decode_slots, 0.0)}, 10.0)
+    zones.update_zone("a", {"s": (own.read_tokens + 500.0, own.decode_slots, 0.0)}, 10.0)
     assert meter.total("s", 10.0).read_tokens == pytest.approx(own.read_tokens + 500.0)
 
 
 def test_a_zone_that_nobody_tells_of_any_more_is_dropped():
     table, meter = PeerTable(ME), DemandMeter()
     zones = ZoneDemand(ME, table, meter)
-    zones.take_zone("b", {"s": (300.0, 3.0, 1.0)}, 10.0)
+    zones.update_zone("b", {"s": (300.0, 3.0, 1.0)}, 10.0)
     zones.expire(11.9)
     assert meter.total("s", 11.9).read_tokens == 300.0
     zones.expire(12.1)
@@ -445,8 +445,8 @@
 def test_an_own_zone_that_is_heard_host_by_host_needs_no_sum():
     table, meter = PeerTable(ME), DemandMeter()
     zones = ZoneDemand(ME, table, meter)
-    zones.take_zone("a", {"s": (300.0, 3.0, 1.0)}, 10.0)
-    zones.forget_zone("a")
+    zones.update_zone("a", {"s": (300.0, 3.0, 1.0)}, 10.0)
+    zones.drop_zone("a")
     assert meter.total("s", 10.0) == Demand()
     assert zones.sum_own_zone(10.0) == {}
 
@@ -484,7 +484,7 @@
 def test_a_host_that_holds_the_lease_stays_the_candidate_whether_it_represents_or_not(host):
     clock = [10.0]
     _, candidates = make_candidates(host, clock)
-    candidates.holds_roles = True
+    candidates.holds_duty_lease = True
     assert candidates.is_candidate()
     candidates.leaving = True
     assert not candidates.is_candidate()
@@ -495,7 +495,7 @@
     first = list_candidates(clock)[0]
     table, candidates = make_candidates(first, clock)
     holder = next(item for item in HOSTS if item.host != first)
-    table.note_heard(beat(holder, holds_roles=True), 10.0)
+    table.note_heard(beat(holder, holds_duty_lease=True), 10.0)
     assert not candidates.is_candidate()
     assert candidates.is_next_candidate()
     for item in HOSTS:
@@ -509,7 +509,7 @@
     clock = [10.0]
     first = list_candidates(clock)[0]
     _, candidates = make_candidates(first, clock)
-    candidates.note_store_lost(3.0)
+    candidates.mark_store_unreachable(3.0)
     assert not candidates.is_candidate()
     clock[0] = 11.0
     assert not candidates.is_candidate()
@@ -553,9 +553,9 @@
 def test_contact_with_the_store_counts_from_the_first_answer_after_a_break(
     answers, broken, asked_at, expected
 ):
-    contact = StoreContact()
+    contact = StoreAvailability()
     for at in answers:
-        contact.note_answer(at)
+        contact.record_answer(at)
     if broken:
-        contact.note_break()
-    assert contact.count_seconds(asked_at) == expected
+        contact.record_outage()
+    assert contact.find_available_seconds(asked_at) == expected
--- a/tests/cover/test_policies.py
+++ b/tests/cover/test_policies.py
@@ -6,7 +6,7 @@
 import pytest
 
 from swifttrestle.internal.coordination.acceptance import (
-    SHARD_LIMIT,
+    MAX_SHARD_BYTES,
     decide_acceptance,
     split_shards,
 )
@@ -182,4 +182,4 @@
     }  # fmt: skip
     sizes = [len(orjson.dumps(shard)) for shard in split_shards(upstreams).values()]
     assert len(sizes) == 13
-    assert max(sizes) < SHARD_LIMIT
+    assert max(sizes) < MAX_SHARD_BYTES
--- a/tests/cover/test_removals.py
+++ b/tests/cover/test_removals.py
@@ -66,7 +66,7 @@
 class Follower(Alone):
     """The relay of a host in a large fleet that hears of the list from others."""
 
-    def watches(self):
+    def should_watch(self):
         return False
 
 
--- a/tests/cover/test_returned_lease.py
+++ b/tests/cover/test_returned_lease.py
@@ -10,7 +10,7 @@
 import pytest
 
 from swifttrestle.errors import LeaseLostError, PlatformUnavailableError
-from swifttrestle.internal.coordination.duty_lease import ARRIVAL_SECONDS, DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import ARRIVAL_SECONDS, DutyLeaseManager
 from swifttrestle_standins.hosted.direct import DirectStore
 from swifttrestle_standins.hosted.store import StandInStore
 from swifttrestle_standins.virtual_time import run_in_virtual_time
@@ -84,7 +84,7 @@
         self.name = name
         self.site = site
         self.store = DirectStore(site.stand_in)
-        self.keeper = DutyLeaseKeeper(self.store, "roles", name, 1, LEASE_SECONDS, skip_silently())
+        self.keeper = DutyLeaseManager(self.store, "roles", name, 1, LEASE_SECONDS, skip_silently())
         # A clock that runs a little slow or fast.
         self.pace = 1.0 + 0.02 * (site.rng.random() - 0.5)
 
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -11,8 +11,8 @@
 from swifttrestle.internal.protocol.freshness import (
     BeliefAnswer,
     BeliefQuestion,
-    pack_answer,
-    pack_question,
+    pack_freshness_query,
+    pack_freshness_reply,
     unpack_belief,
 )
 from swifttrestle.internal.state.config_freshness import ConfigurationBelief
@@ -64,11 +64,11 @@
 )
 def test_a_proof_counts_for_its_version_and_for_later_ones(here, proofs, later, wanted):
     version = [here]
-    belief = ConfigurationBelief(lambda: version[0])
+    freshness = ConfigurationBelief(lambda: version[0])
     for proof in proofs:
-        belief.note(*proof)
+        freshness.note(*proof)
     version[0] = later
-    assert belief.confirmed_at == wanted
+    assert freshness.confirmed_at == wanted
 
 
 class Host:
@@ -77,7 +77,7 @@
     def __init__(self, clock_ahead):
         self.clock_ahead = clock_ahead
         self.version = 1
-        self.belief = ConfigurationBelief(lambda: self.version)
+        self.freshness = ConfigurationBelief(lambda: self.version)
 
     def clock(self, now):
         return now + self.clock_ahead
@@ -86,18 +86,18 @@
         """Read the store; the answer is made between its sending and its use."""
         version = store.version_at(answered)
         self.version = max(self.version, version)
-        self.belief.note(version, self.clock(sent))
+        self.freshness.note(version, self.clock(sent))
 
     def ask(self, peer, sent, answered):
         """Ask a peer whose version has come here by the time of its answer."""
-        age = peer.clock(answered) - peer.belief.confirmed_at
-        if peer.belief.confirmed_at == NEVER:
+        age = peer.clock(answered) - peer.freshness.confirmed_at
+        if peer.freshness.confirmed_at == NEVER:
             return
-        self.belief.note(peer.version, self.clock(sent) - age)
+        self.freshness.note(peer.version, self.clock(sent) - age)
 
     def takes_key(self, now):
         """Return whether a request with the key that version 2 takes away is served."""
-        age = self.clock(now) - self.belief.confirmed_at
+        age = self.clock(now) - self.freshness.confirmed_at
         return check_key(self.version < 2, age, BOUND) is Verdict.ALLOWED
 
 
@@ -150,11 +150,11 @@
 def test_the_waits_of_a_calm_day_leave_the_bound_room_for_an_outage():
     """The sum in docs/INVARIANTS.md: a proof's age at most, with one lost question."""
     jitter = 1 + freshness_monitor.JITTER_SHARE / 2
-    ask = BOUND * freshness_monitor.ASK_SHARE * jitter
-    calm = BOUND * freshness_monitor.READ_SHARE * jitter + ask
+    ask = BOUND * freshness_monitor.QUERY_INTERVAL_SHARE * jitter
+    calm = BOUND * freshness_monitor.READ_INTERVAL_SHARE * jitter + ask
     assert calm <= 1.9
     # A host that lost one question asks everywhere with the next one.
-    assert calm + ask >= BOUND * freshness_monitor.WIDEN_SHARE
+    assert calm + ask >= BOUND * freshness_monitor.WIDEN_AGE_SHARE
     # What is left of the bound for an outage of the store in which no request is refused.
     assert BOUND - revocation.CLOCK_MARGIN - calm >= 3.0
 
@@ -163,7 +163,7 @@
     "message", [BeliefQuestion(12.5, 1.7e9), BeliefAnswer(12.5, 7, 0.25, 1.7e9)]
 )
 def test_questions_and_answers_are_read_as_they_were_written(message):
-    pack = pack_question if isinstance(message, BeliefQuestion) else pack_answer
+    pack = pack_freshness_query if isinstance(message, BeliefQuestion) else pack_freshness_reply
     assert unpack_belief(pack(message)) == message
 
 
@@ -173,11 +173,11 @@
         b"",
         b"\xc1",
         b"\x90",
-        pack_question(BeliefQuestion(-1.0, 1.0)),
-        pack_question(BeliefQuestion(float("nan"), 1.0)),
-        pack_answer(BeliefAnswer(1.0, 0, 1.0, 1.0)),
-        pack_answer(BeliefAnswer(1.0, 2**63, 1.0, 1.0)),
-        pack_answer(BeliefAnswer(1.0, 1, float("inf"), 1.0)),
+        pack_freshness_query(BeliefQuestion(-1.0, 1.0)),
+        pack_freshness_query(BeliefQuestion(float("nan"), 1.0)),
+        pack_freshness_reply(BeliefAnswer(1.0, 0, 1.0, 1.0)),
+        pack_freshness_reply(BeliefAnswer(1.0, 2**63, 1.0, 1.0)),
+        pack_freshness_reply(BeliefAnswer(1.0, 1, float("inf"), 1.0)),
     ],
 )
 def test_a_datagram_that_is_no_question_and_no_answer_is_refused(data):
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from swifttrestle.internal.coordination.role_orders import OrderedRoles
+from swifttrestle.internal.coordination.role_orders import RoleOrders
 from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.fetching import list_sources
@@ -81,7 +81,7 @@
     fleet.note_prompt(SentPrompt(FIRST.start, PARTS, read=True))
     fleet.note_peer("peer", {FIRST.start: OpenWork(700, 3)}, now=1.0)
     fleet.note_ordered_role(FIRST.start, Role.DECODE, ready_at=6.0)
-    roles = OrderedRoles(fleet, lambda: 1.0)
+    roles = RoleOrders(fleet, lambda: 1.0)
     roles.take({FIRST.start: ("decode", 2.0)}, "peer")
     assert not fleet.put(replace(FIRST, leaving=True))
     assert fleet.find_start("e") is now
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -15,7 +15,7 @@
 
 from swifttrestle.internal import clock
 from swifttrestle.internal.clock import MonotonicClock, read_seconds
-from swifttrestle.internal.coordination.duty_lease import SEND_SECONDS, DutyLeaseKeeper
+from swifttrestle.internal.coordination.duty_lease import SEND_SECONDS, DutyLeaseManager
 from swifttrestle.internal.loop import run_in_loop
 from swifttrestle.internal.state.store_epochs import StoreEpochs, StoreRevision
 from swifttrestle.platform.objects import StoredObject
@@ -72,7 +72,7 @@
             return StoredObject(kind, name, StoreRevision(0, 2), spec)
 
     async def work():
-        keeper = DutyLeaseKeeper(SuspendedInTheWrite(), "roles", "h1", 1, 1.0, skip_silently())
+        keeper = DutyLeaseManager(SuspendedInTheWrite(), "roles", "h1", 1, 1.0, skip_silently())
         assert await keeper.campaign()
         _, until = await keeper.record("e1", "decode")
         return asyncio.get_running_loop().time() - until
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -42,13 +42,13 @@
 # Seconds after the third crash of a request from which on it may reach few upstreams more.
 KEPT_BACK = 3.0
 
-FIRST_PAUSE = find_max_backoff(discovery.FIRST_PAUSE)
-LONGEST_PAUSE = find_max_backoff(discovery.LONGEST_PAUSE)
+FIRST_BACKOFF_SECONDS = find_max_backoff(discovery.FIRST_BACKOFF_SECONDS)
+MAX_BACKOFF_SECONDS = find_max_backoff(discovery.MAX_BACKOFF_SECONDS)
 LIST = pool.CONNECT_SECONDS + SLOW_STORE
 HEARTBEAT = gossip.HEARTBEAT_SECONDS * 1.1
 # A host notices that the store answers again: its last vain call, its pause, its next call.
-NOTICE = store.READ_SECONDS + LONGEST_PAUSE + LIST
-HELD = removals.RETURN_SECONDS + removals.LOOK_SECONDS
+NOTICE = store.READ_SECONDS + MAX_BACKOFF_SECONDS + LIST
+HELD = removals.REREGISTRATION_SECONDS + removals.POLL_SECONDS
 # A host that lost a connection finds the upstream's address closed.
 CRASH_SEEN = crashes.LOOK_DELAY_SECONDS + DATAGRAM
 PUSH = quarantine_relay.PUSH_SECONDS
@@ -56,10 +56,10 @@
 KEYS_BOUND = 5.0
 KEYS = KEYS_BOUND - revocation.CLOCK_MARGIN
 LONGEST_JITTER = 1 + freshness_monitor.JITTER_SHARE / 2
-READ_PAUSE = KEYS_BOUND * freshness_monitor.READ_SHARE * LONGEST_JITTER
-ASK_PAUSE = KEYS_BOUND * freshness_monitor.ASK_SHARE * LONGEST_JITTER
+READ_PAUSE = KEYS_BOUND * freshness_monitor.READ_INTERVAL_SHARE * LONGEST_JITTER
+ASK_PAUSE = KEYS_BOUND * freshness_monitor.QUERY_INTERVAL_SHARE * LONGEST_JITTER
 QUESTION = 2 * DATAGRAM
-WIDENED = KEYS_BOUND * freshness_monitor.WIDEN_SHARE
+WIDENED = KEYS_BOUND * freshness_monitor.WIDEN_AGE_SHARE
 SILENT_WATCH = discovery.WATCH_SECONDS + store.WATCH_MARGIN_SECONDS
 
 
@@ -69,46 +69,46 @@
 
 # What fails first, the seconds until all hosts act on the change, and the bound in seconds.
 SUMS = {
-    "leaving: nothing": (discovery.PACE_SECONDS + SLOW_STORE, LEAVING["small"]),
-    "leaving: the watch is reset": (FIRST_PAUSE + LIST, LEAVING["small"]),
+    "leaving: nothing": (discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE, LEAVING["small"]),
+    "leaving: the watch is reset": (FIRST_BACKOFF_SECONDS + LIST, LEAVING["small"]),
     "leaving: connections fall silent": (
         # The silent connections are dropped with the first of them, and one list follows.
-        SILENT_WATCH + FIRST_PAUSE + SLOW_STORE,
+        SILENT_WATCH + FIRST_BACKOFF_SECONDS + SLOW_STORE,
         STEADY["small"],
     ),
     "leaving: a host's path was cut, peers kept theirs": (
-        NOTICE + removals.LOOK_SECONDS,
+        NOTICE + removals.POLL_SECONDS,
         STEADY["small"],
     ),
     "leaving: the store was away for all": (NOTICE + HELD, STEADY["small"] + LEAVING["small"]),
     "leaving: the store has forgotten its history": (
-        discovery.PACE_SECONDS / 2 + LIST,
+        discovery.MIN_CALL_INTERVAL_SECONDS / 2 + LIST,
         LEAVING["small"],
     ),
-    "leaving: the store came back from a copy": (FIRST_PAUSE + LIST, LEAVING["small"]),
+    "leaving: the store came back from a copy": (FIRST_BACKOFF_SECONDS + LIST, LEAVING["small"]),
     "leaving: the store came back from a copy, and connections were kept": (
         # The watch from before ends without a word.
         discovery.WATCH_SECONDS + 2 * SLOW_STORE,
         STEADY["small"],
     ),
     "leaving, by a teller: nothing": (
-        discovery.PACE_SECONDS + SLOW_STORE + DATAGRAM,
+        discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE + DATAGRAM,
         LEAVING["large"],
     ),
     "leaving, by a teller: its datagram is lost": (
         # The next one repeats it.
-        2 * (discovery.PACE_SECONDS + SLOW_STORE) + DATAGRAM,
+        2 * (discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE) + DATAGRAM,
         LEAVING["large"],
     ),
     "leaving, by a teller: both are gone": (
-        discovery.FOLLOW_SECONDS + LIST + DATAGRAM,
+        discovery.RELAY_TIMEOUT_SECONDS + LIST + DATAGRAM,
         LEAVING["large"],
     ),
     "leaving, by a teller: connections fall silent": (
-        discovery.PACE_SECONDS
-        + discovery.TELLING_WAIT_SECONDS
+        discovery.MIN_CALL_INTERVAL_SECONDS
+        + discovery.RELAYING_WATCH_SECONDS
         + store.WATCH_MARGIN_SECONDS
-        + FIRST_PAUSE
+        + FIRST_BACKOFF_SECONDS
         + SLOW_STORE
         + DATAGRAM,
         STEADY["large"],
@@ -118,22 +118,26 @@
         STEADY["large"] + LEAVING["large"],
     ),
     "leaving, by a teller: the store came back from a copy": (
-        FIRST_PAUSE + LIST + DATAGRAM + discovery.RETURN_SPREAD_SECONDS + LIST,
+        FIRST_BACKOFF_SECONDS + LIST + DATAGRAM + discovery.RESTORE_SPREAD_SECONDS + LIST,
         LEAVING["large"],
     ),
     "leaving, by a teller: the same, and connections were kept": (
-        discovery.PACE_SECONDS + 2 * SLOW_STORE + DATAGRAM + discovery.RETURN_SPREAD_SECONDS + LIST,
+        discovery.MIN_CALL_INTERVAL_SECONDS
+        + 2 * SLOW_STORE
+        + DATAGRAM
+        + discovery.RESTORE_SPREAD_SECONDS
+        + LIST,
         LEAVING["large"],
     ),
-    "in force: the store came back from a copy": (FIRST_PAUSE + LIST, IN_FORCE["small"]),
+    "in force: the store came back from a copy": (FIRST_BACKOFF_SECONDS + LIST, IN_FORCE["small"]),
     "in force: the same, and connections were kept": (
         # The list's watch ends first, and tells.
-        discovery.WATCH_SECONDS + SLOW_STORE + discovery.RETURN_SPREAD_SECONDS + SLOW_STORE,
+        discovery.WATCH_SECONDS + SLOW_STORE + discovery.RESTORE_SPREAD_SECONDS + SLOW_STORE,
         STEADY["small"],
     ),
     "in force: nothing": (SLOW_STORE, IN_FORCE["small"]),
     "in force: the watch is reset": (
-        FIRST_PAUSE + LIST,
+        FIRST_BACKOFF_SECONDS + LIST,
         IN_FORCE["small"],
     ),
     "in force: a host cannot reach the store": (
@@ -176,7 +180,7 @@
         KEYS,
     ),
     "in force, by dated words: they stop": (
-        WIDENED + configuration.FOLLOW_LOOK_SECONDS + LIST,
+        WIDENED + configuration.FOLLOW_POLL_SECONDS + LIST,
         IN_FORCE["large"],
     ),
 }
--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -453,22 +453,24 @@
     # looks, half a second apart, and the pause of a call that had failed meanwhile stayed.
     candidates = gateway(site)._gossip.candidates
     discovery = gateway(site)._discovery
-    await wait_until(lambda: candidates.holds_roles, "lease")
-    candidates.note_store_lost(60.0)
+    await wait_until(lambda: candidates.holds_duty_lease, "lease")
+    candidates.mark_store_unreachable(60.0)
     discovery._away = True
     discovery._note_answer()
-    await wait_until(lambda: not candidates.lacks_store, "candidate again")
+    await wait_until(lambda: not candidates.store_unreachable, "candidate again")
 
 
 @on_site()
 async def test_roles_are_planned_again_as_soon_as_the_store_is_back(site):
     candidates = gateway(site)._gossip.candidates
-    await wait_until(lambda: candidates.holds_roles, "lease")
+    await wait_until(lambda: candidates.holds_duty_lease, "lease")
     site.store.faults.down = True
     site.store.wake()
-    await wait_until(lambda: candidates.lacks_store and gateway(site)._discovery.store_away, "lost")
+    await wait_until(
+        lambda: candidates.store_unreachable and gateway(site)._discovery.store_unreachable, "lost"
+    )
     # Its pause is renewed by each call that fails, so that it would last for seconds more.
-    candidates.note_store_lost(60.0)
+    candidates.mark_store_unreachable(60.0)
     site.store.faults.down = False
-    await wait_until(lambda: candidates.holds_roles, "lease again")
-    assert not candidates.lacks_store
+    await wait_until(lambda: candidates.holds_duty_lease, "lease again")
+    assert not candidates.store_unreachable
--- a/tests/hosted/test_duties.py
+++ b/tests/hosted/test_duties.py
@@ -75,7 +75,7 @@
     return next(
         name
         for name, item in site.gateways.items()
-        if not item.task.done() and item.gateway._gossip.candidates.holds_roles
+        if not item.task.done() and item.gateway._gossip.candidates.holds_duty_lease
     )
 
 
--- a/tests/hosted/test_lost_paths.py
+++ b/tests/hosted/test_lost_paths.py
@@ -26,9 +26,9 @@
         await wait_until(lambda h=host: h._discovery.count_store_seconds() > 1.0, "answers")
     call = cut._store._call
     cut._store._call = refuse_call
-    await wait_until(lambda: cut._discovery.store_away, "store lost")
+    await wait_until(lambda: cut._discovery.store_unreachable, "store lost")
     cut._store._call = call
-    await wait_until(lambda: not cut._discovery.store_away, "store regained")
+    await wait_until(lambda: not cut._discovery.store_unreachable, "store regained")
     site.unlist_upstream(site.upstreams["s0"])
     await wait_until(lambda: not other.knows_instance("s0"), "gone at the other host")
     await wait_until(lambda: not cut.knows_instance("s0"), "gone at the host that was cut off")
--- a/tests/hosted/test_returned_duties.py
+++ b/tests/hosted/test_returned_duties.py
@@ -23,7 +23,7 @@
         for name, item in site.gateways.items()
         if not item.task.done()
         and item.gateway._duties.lease.lease is not None
-        and item.gateway._gossip.candidates.holds_roles
+        and item.gateway._gossip.candidates.holds_duty_lease
     ]
 
 
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -96,7 +96,7 @@
     far = site.gateways[min(find_representatives(site, "hall-b"))].gateway._gossip
     answers = []
     near._rosters.answer = lambda summary, ip: answers.append(ip)
-    peers = far.hearers.list_named([near._me.host])
+    peers = far.recipients.list_named([near._me.host])
     for _ in range(20):
         far._send({}, peers)
         await asyncio.sleep(0.01)
@@ -162,7 +162,7 @@
         return [
             name
             for name, item in site.gateways.items()
-            if item.gateway._gossip.candidates.holds_roles
+            if item.gateway._gossip.candidates.holds_duty_lease
         ]
 
     await wait_until(list_holders, "a holder of the lease")
--- a/tests/hosted/test_starts.py
+++ b/tests/hosted/test_starts.py
@@ -205,7 +205,7 @@
     await wait_until(lambda: duty._lease.lease is not None, "lease")
     engines = [item for item in site.upstreams.values() if hasattr(item, "role")]
     await wait_until(lambda: sum(e.role == "prefill" for e in engines) == 2, "orders of the start")
-    await wait_until(lambda: not duty._lease._writing.locked(), "no write on its way")
+    await wait_until(lambda: not duty._lease._write_lock.locked(), "no write on its way")
     before = duty._lease.lease.token
     site.store.put("swifttrestle-leases", "roles", spec)
     revision = site.store.objects["swifttrestle-leases", "roles"]["metadata"]["revision"]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -65,7 +65,7 @@
             kinds += [self.kill, self.pause, self.hold, self.reset, self.outage, self.drain]
             kinds += [self.spoil, self.restart, self.stray, self.overwrite, self.deadly]
             kinds += [self.revoke, self.reclaim, self.kill_holder, self.lose_duty_answers]
-            kinds += [self.rest, self.say_leaving, self.lose_writes]
+            kinds += [self.rest, self.announce_leaving, self.lose_writes]
         self._end = end = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end:
             kind = self._rng.choice(kinds)
@@ -250,7 +250,7 @@
         await asyncio.sleep(self._some_time(2.0))
         upstream.rest = b""
 
-    async def say_leaving(self):
+    async def announce_leaving(self):
         """Have an upstream say in its answers alone that it leaves, and then start anew."""
         upstream = self._rng.choice(self._site.fixed)
         if upstream.says:
