--- a/bench/division.py
+++ b/bench/division.py
@@ -54,7 +54,7 @@
     name: str
     zones: tuple[int, ...]
     traits: EngineTraits
-    pace: float
+    effective_read_rate: float
     kinds: tuple[Kind, ...]
 
 
@@ -111,8 +111,8 @@
     def choose(self, prompt: Prompt, engines: Sequence[Instance], zones: Sequence[str]) -> str:
         """Return the first home of the prompt."""
         weights = count_engines_by_zone(engines, zones)
-        pace = max(item.pace for item in engines)
-        return list_home_zones(prompt.parts, weights, pace, prompt.zone)[0]
+        effective_read_rate = max(item.effective_read_rate for item in engines)
+        return list_home_zones(prompt.parts, weights, effective_read_rate, prompt.zone)[0]
 
 
 @dataclass
@@ -207,7 +207,7 @@
                 name = f"{zone}-{number}"
                 address = ("10.0.0.1", 80)
                 record = UpstreamRecord(name, SERVICE, address, zone, SLOTS, False, Role.PREFILL)
-                engines[name] = Instance(record, read_rate=self._shape.pace)
+                engines[name] = Instance(record, read_rate=self._shape.effective_read_rate)
         return engines
 
     def _lose(self) -> None:
@@ -268,7 +268,9 @@
         if fetch is not None:
             had = max(had, self._kept[fetch.source.name].count_read(prompt.parts))
         self._count(prompt, had)
-        seconds = (prompt.tokens - had) / self._shape.pace + (fetch.seconds if fetch else 0.0)
+        seconds = (prompt.tokens - had) / self._shape.effective_read_rate + (
+            fetch.seconds if fetch else 0.0
+        )
         end = max(prompt.at, self._busy_until[reader.name]) + seconds
         self._busy_until[reader.name] = end
         self.result.in_time += end - prompt.at <= prompt.kind.objective * PREFILL_DEADLINE_SHARE
@@ -324,7 +326,7 @@
     "8 engines, 2 zones, long histories",
     (4, 4),
     SCREENING.traits,
-    SCREENING.pace,
+    SCREENING.effective_read_rate,
     tuple(
         replace(kind, rate=kind.rate * 8 / 45, documents=kind.documents * 8 // 45)
         for kind in SCREENING.kinds
--- a/bench/model.py
+++ b/bench/model.py
@@ -19,7 +19,7 @@
 from swifttrestle.internal.protocol.engine import EngineState, Holding, LoadReport
 from swifttrestle.internal.protocol.prefixes import BLOCK_TOKENS
 from swifttrestle.internal.state.closings import ClosingTable
-from swifttrestle.internal.state.upstreams import Selection, UpstreamTable
+from swifttrestle.internal.state.upstreams import UpstreamRequirements, UpstreamTable
 from swifttrestle.resources import Model, Policy, ResourceSet, Service, Upstream
 
 CHUNK = 512
@@ -264,7 +264,7 @@
         if left <= 0:
             request.outcome = "expired"
             return True
-        wanted = Selection(self.service, request.work.prompt_tokens, request.blocks)
+        wanted = UpstreamRequirements(self.service, request.work.prompt_tokens, request.blocks)
         candidates = self.tables[request.entry].candidates(wanted)
         ahead = line.index(request) if waiting else len(line)
         if request.work.priority == "urgent":
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -36,7 +36,7 @@
 from swifttrestle.internal.settings_file import watch_settings_file
 from swifttrestle.internal.state.declared import Configuration
 from swifttrestle.internal.state.fleet import Fleet, Instance
-from swifttrestle.internal.state.median_clock import TrueTime
+from swifttrestle.internal.state.median_clock import MedianClock
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import PeerSocket
 from swifttrestle.internal.transport.pool import ConnectionPool
@@ -143,7 +143,7 @@
             rng,
             self._quarantine.note_change,
         )
-        self._true_time = TrueTime()
+        self._true_time = MedianClock()
         self._freshness_monitor = FreshnessMonitor(
             self._configuration,
             socket,
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -15,7 +15,7 @@
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.copies import ConfigurationCopy
-from swifttrestle.internal.state.config_freshness import ConfigurationBelief
+from swifttrestle.internal.state.config_freshness import ConfigurationFreshness
 from swifttrestle.internal.state.declared import Configuration
 from swifttrestle.internal.state.routes import RouteTable
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
@@ -62,7 +62,7 @@
         self._confirmed: tuple[StoreRevision, int] = (NO_REVISION, 0)
         self.table: RouteTable | None = None
         self.raw: Any = None
-        self.freshness = ConfigurationBelief(lambda: self.version)
+        self.freshness = ConfigurationFreshness(lambda: self.version)
         # Tells whether others keep this host up to date, by words that are proved to be young.
         self.follows: Callable[[], bool] = lambda: False
 
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -223,7 +223,7 @@
         return _Taken(listed=True, changed=record if changed else None)
 
     def _put_record(self, record: UpstreamRecord, revision: StoreRevision, source: str) -> bool:
-        if self._fleet.is_old_word(record):
+        if self._fleet.is_stale_record(record):
             return False
         was_missing = self.removals.restore(record.instance)
         self._copied.note_listed(record.instance)
@@ -250,8 +250,8 @@
     ) -> None:
         if not self._relay.should_relay():
             return
-        distrust = max(0.0, self.removals.find_trusted_from() - self._now())
-        changes = ListingChanges(since, self._revision, distrust, records, removed)
+        removal_distrust_seconds = max(0.0, self.removals.find_trusted_from() - self._now())
+        changes = ListingChanges(since, self._revision, removal_distrust_seconds, records, removed)
         # Each message repeats the one before, so that a lost one costs its hearers a pace, and
         # not a pace and a list that all of them ask for.
         self._relay.send(join_changes(self._last_told, changes))
@@ -295,7 +295,9 @@
             for record in changes.records:
                 self._put_record(record, changes.revision, "peer")
             for name in changes.removed:
-                self.removals.remove(name, self._told_at + changes.distrust, changes.revision)
+                self.removals.remove(
+                    name, self._told_at + changes.removal_distrust_seconds, changes.revision
+                )
         if changes.records or changes.removed:
             self._changed()
         self._told.set()
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -13,7 +13,7 @@
 from swifttrestle.internal.coordination.usage import UsageDuty
 from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.state.declared import Configuration
-from swifttrestle.internal.state.median_clock import TrueTime
+from swifttrestle.internal.state.median_clock import MedianClock
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import PeerSocket
 from swifttrestle.internal.transport.pool import ConnectionPool
@@ -39,7 +39,7 @@
         gossip: Gossip,
         discovery: Discovery,
         freshness_monitor: FreshnessMonitor,
-        true_time: TrueTime,
+        true_time: MedianClock,
         find_configuration: Callable[[], Configuration | None],
         skipped: SkippedEntries,
     ) -> None:
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -18,13 +18,13 @@
 from swifttrestle.internal.policy.revocation import is_fresh
 from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.freshness import (
-    BeliefAnswer,
-    BeliefQuestion,
+    FreshnessQuery,
+    FreshnessReply,
     pack_freshness_query,
     pack_freshness_reply,
-    unpack_belief,
+    unpack_freshness,
 )
-from swifttrestle.internal.state.median_clock import TrueTime
+from swifttrestle.internal.state.median_clock import MedianClock
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
@@ -60,7 +60,7 @@
         me: Member,
         list_members: Callable[[], Sequence[Member]],
         fetch_later: Callable[[str, str, int], None],
-        true_time: TrueTime,
+        true_time: MedianClock,
         bound: float,
         rng: random.Random,
     ) -> None:
@@ -85,7 +85,7 @@
         self._asked: set[float] = set()
         self._answered_at = float("-inf")
         self._was_young = True
-        socket.receive(DatagramKind.BELIEF, self._receive)
+        socket.receive(DatagramKind.FRESHNESS, self._receive)
         configuration.follows = self._follows
 
     @property
@@ -161,29 +161,29 @@
         now = _now()
         self._asked = {at for at in self._asked if now - at < ANSWER_SECONDS}
         self._asked.add(now)
-        data = pack_freshness_query(BeliefQuestion(now, time.time()))
+        data = pack_freshness_query(FreshnessQuery(now, time.time()))
         for host in hosts:
-            self._socket.send(host.ip, DatagramKind.BELIEF, data)
+            self._socket.send(host.ip, DatagramKind.FRESHNESS, data)
 
     def _receive(self, data: bytes, ip: str) -> None:
         """Answer a question, or take an answer over; raise FrameError."""
-        message = unpack_belief(data)
-        if isinstance(message, BeliefQuestion):
+        message = unpack_freshness(data)
+        if isinstance(message, FreshnessQuery):
             self._true_time.note(ip, message.wall)
             self._answer(message, ip)
         elif message.asked_at in self._asked:
             self._take(message, ip)
 
-    def _answer(self, question: BeliefQuestion, ip: str) -> None:
+    def _answer(self, question: FreshnessQuery, ip: str) -> None:
         confirmed_at = self._configuration.freshness.confirmed_at
         version = self._configuration.version
         if not version or confirmed_at == float("-inf"):
             return
         age = max(0.0, _now() - confirmed_at)
-        answer = BeliefAnswer(question.asked_at, version, age, self._true_time.now())
-        self._socket.send(ip, DatagramKind.BELIEF, pack_freshness_reply(answer))
+        answer = FreshnessReply(question.asked_at, version, age, self._true_time.now())
+        self._socket.send(ip, DatagramKind.FRESHNESS, pack_freshness_reply(answer))
 
-    def _take(self, answer: BeliefAnswer, ip: str) -> None:
+    def _take(self, answer: FreshnessReply, ip: str) -> None:
         now = _now()
         self._answered_at = now
         # The answer was made after the question, so its proof is at least as young as this.
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -21,7 +21,7 @@
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
-from swifttrestle.internal.protocol.rosters import Summary
+from swifttrestle.internal.protocol.rosters import RosterSummary
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.demand import DemandMeter
 from swifttrestle.internal.state.fleet import Fleet, OpenWork
@@ -84,7 +84,7 @@
         self._rosters = Rosters(me, socket, self._peers, self._take_summary, self._now)
         self.candidates = RoleCandidates(me, self._peers, self._now)
         self.recipients = ReportRecipients(
-            me, self._peers, self.candidates, rng, self._now, lambda: self._rosters.told_at
+            me, self._peers, self.candidates, rng, self._now, lambda: self._rosters.reported_at
         )
         self._ordered = RoleOrders(fleet, self._now)
         self._live: frozenset[str] = frozenset()
@@ -110,7 +110,7 @@
     def add_seeds(self, seeds: list[str]) -> None:
         """Greet hosts by their IPs alone; their answers tell who they are."""
         for ip in seeds:
-            self._peers.greet(ip)
+            self._peers.add_seed(ip)
 
     def live_hosts(self) -> list[str]:
         """Return this host and the peers heard of late, in order of name."""
@@ -126,9 +126,9 @@
         The store alone does not tell the newest one: it may have come back from a copy.
         """
         now = self._now()
-        version, told_at = self._newest_told
+        version, reported_at = self._newest_told
         met = len(self.live_hosts()) > 1 or now - self._started_at >= MEET_SECONDS
-        return met and (version <= self._configuration.version or now - told_at >= MEET_SECONDS)
+        return met and (version <= self._configuration.version or now - reported_at >= MEET_SECONDS)
 
     def find_store_up_since(self) -> float:
         """Return the loop's time since when the store has answered some peer, or infinity."""
@@ -237,10 +237,10 @@
         self._sent_work = work
         self._report_at = self._now() + self._find_pause()
 
-    def _make_summary(self) -> Summary:
+    def _make_summary(self) -> RosterSummary:
         self._told_version = self._configuration.version
         own = self._rosters.refresh_own()
-        return Summary(
+        return RosterSummary(
             self._me.host,
             self._me.zone,
             self._me.link_mbps,
@@ -314,7 +314,7 @@
             self._fleet.note_prompt(prompt)
         self._ordered.take(report.roles, report.host)
         for host, ip in report.known:
-            self._peers.learn(host, ip)
+            self._peers.add_peer(host, ip)
         self._take_version(report.host, report.ip, report.config_version)
         if self.recipients.is_large_fleet():
             self._answer_stranger(report, joined)
@@ -323,7 +323,7 @@
     def _answer_stranger(self, report: PeerReport, joined: bool) -> None:
         """Help a host that speaks to this one for want of others."""
         if report.zone != self._me.zone and self.recipients.is_representative():
-            if self._now() - self._peers.peers[report.host].told_at < REPRESENTED_SECONDS:
+            if self._now() - self._peers.peers[report.host].reported_at < REPRESENTED_SECONDS:
                 # Its zone tells of it: it reports to a scheduler, or spoke to all.
                 return
             self._rosters.answer(self._make_summary(), report.ip)
@@ -333,7 +333,7 @@
                 self._list_work(), self.recipients.list_named([report.host]), with_known=True
             )
 
-    def _take_summary(self, summary: Summary, ip: str) -> None:
+    def _take_summary(self, summary: RosterSummary, ip: str) -> None:
         """Take over what a representative says besides who lives."""
         now = self._now()
         member = Member(summary.host, ip, summary.zone, summary.link_mbps)
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -317,7 +317,7 @@
             )
         if message.generations:
             self._closings.merge(message.generations)
-        behind = self._config.find_behind(message.epochs or {})
+        behind = self._config.find_outdated(message.epochs or {})
         if behind:
             stream.send(pack_message(PullShards(behind)))
 
--- a/src/swifttrestle/internal/coordination/prompt_cache_loader.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -16,7 +16,7 @@
 from swifttrestle.internal.state.fleet import Fleet, Instance
 from swifttrestle.internal.state.prompt_cache import SentPrompt
 from swifttrestle.internal.transport.messages import Framing
-from swifttrestle.internal.transport.pool import ConnectionPool, Patience, call_once
+from swifttrestle.internal.transport.pool import CallTimeouts, ConnectionPool, call_once
 from swifttrestle.internal.transport.upstream import OutgoingRequest
 from swifttrestle.platform.engine import (
     KEPT_PARTS_PATH,
@@ -33,7 +33,7 @@
 SPREAD_SECONDS = 0.2
 # Seconds in which an engine must begin to answer, and between bytes of its answer. There is no
 # bound for the whole: a list of a megabyte takes two seconds over 5 Mbit/s.
-PATIENCE = Patience(head=0.5, byte=0.5)
+PATIENCE = CallTimeouts(head=0.5, between_bytes=0.5)
 # Engines that a host asks at most: more of them are booked by a scheduler, which is one of many.
 MOST_ASKED = 16
 # Bytes that an engine's list may have: some ten thousand parts.
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -18,10 +18,10 @@
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.policy.placement import rank
 from swifttrestle.internal.policy.quarantine import CRASH_RETENTION_SECONDS
-from swifttrestle.internal.protocol.quarantine import pack_name, read_name
-from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.protocol.quarantine import pack_fingerprint, unpack_fingerprint
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle.platform.objects import StoredObject
 from swifttrestle.platform.store import ObjectStore
 
@@ -98,7 +98,7 @@
         except NotFoundError:
             return None
 
-    def _take(self, known: StoredObject) -> dict[RequestName, int]:
+    def _take(self, known: StoredObject) -> dict[RequestFingerprint, int]:
         """Take over what the object holds; return the crashes that it names by request.
 
         An entry that cannot be read hides no other.
@@ -118,31 +118,31 @@
         hosts = [item.host for item in self._list_members()]
         return self._host == max(hosts, key=lambda host: rank(QUARANTINE_KIND, host))
 
-    def _list_quarantined(self) -> list[Case]:
+    def _list_quarantined(self) -> list[CrashRecord]:
         cases = self._guard.quarantine.list_quarantined()
-        return sorted(cases, key=lambda case: case.last_at, reverse=True)[:MOST_STORED]
+        return sorted(cases, key=lambda case: case.last_crash_at, reverse=True)[:MOST_STORED]
 
 
-def _count_crashes(cases: Sequence[Case]) -> dict[RequestName, int]:
+def _count_crashes(cases: Sequence[CrashRecord]) -> dict[RequestFingerprint, int]:
     return {case.name: len(case.crashes) for case in cases}
 
 
-def _write_case(case: Case, now: float) -> dict[str, Any]:
+def _write_case(case: CrashRecord, now: float) -> dict[str, Any]:
     """Return the stored form; times go by the time of day, in Unix milliseconds."""
     crashes = [
         {"start": crash.start, "at": int((time.time() - now + crash.at) * 1000)}
         for crash in case.crashes
     ]
-    return {"name": pack_name(case.name).hex(), "crashes": crashes}
+    return {"name": pack_fingerprint(case.name).hex(), "crashes": crashes}
 
 
-def _read_case(raw: Any, now: float) -> Case:
+def _read_case(raw: Any, now: float) -> CrashRecord:
     """Return the case of a stored form; raise BadEntryError."""
     match raw:
         case {"name": str(name), "crashes": [_, *_] as crashes}:
             try:
                 read = tuple(_read_crash(crash, now) for crash in crashes)
-                return Case(read_name(bytes.fromhex(name)), read)
+                return CrashRecord(unpack_fingerprint(bytes.fromhex(name)), read)
             except (ValueError, TypeError, KeyError) as error:
                 raise BadEntryError("a quarantine", "requests", raw, repr(error)) from None
     raise BadEntryError("a quarantine", "requests", raw, "a field is missing or of another type")
--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -63,7 +63,7 @@
 def _learn_peer(item: StoredObject, peers: PeerTable, skipped: SkippedEntries) -> None:
     """Learn one host's address; an entry that cannot be taken hides no other."""
     try:
-        peers.learn(item.name, _read_ip(item))
+        peers.add_peer(item.name, _read_ip(item))
     except BadEntryError as error:
         skipped.skip(PEER_KIND, item.name, error, item.spec)
 
--- a/src/swifttrestle/internal/coordination/role_orders.py
+++ b/src/swifttrestle/internal/coordination/role_orders.py
@@ -8,7 +8,7 @@
 
 # Seconds for which peers are told of an order after its engine should have the role: the
 # engine's own record tells it by then, unless the store is away.
-TOLD_SECONDS = 10.0
+REPORTED_PEER_TIMEOUT_SECONDS = 10.0
 # Seconds by which two words of one order may differ, for the time that they were on their way.
 SAME_ORDER_SECONDS = 0.5
 
@@ -38,7 +38,7 @@
         self._orders = {
             engine: (role, ready_at)
             for engine, (role, ready_at) in self._orders.items()
-            if now < ready_at + TOLD_SECONDS
+            if now < ready_at + REPORTED_PEER_TIMEOUT_SECONDS
         }
         return {
             engine: (role.value, round(ready_at - now, 2))
@@ -49,7 +49,7 @@
         """Take over what a peer tells."""
         now = self._now()
         for engine, (role, wait) in told.items():
-            if wait < -TOLD_SECONDS:
+            if wait < -REPORTED_PEER_TIMEOUT_SECONDS:
                 continue
             try:
                 self.note(engine, Role(role), now + wait)
--- a/src/swifttrestle/internal/coordination/usage.py
+++ b/src/swifttrestle/internal/coordination/usage.py
@@ -16,7 +16,7 @@
 )
 from swifttrestle.internal.protocol.usage import split_counts, unpack_counts
 from swifttrestle.internal.state.duties import DutyLease, RecordedUsage, UsageDraft
-from swifttrestle.internal.state.median_clock import TrueTime
+from swifttrestle.internal.state.median_clock import MedianClock
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.usage import KEPT_WINDOWS, UsageMeter, find_window
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
@@ -25,7 +25,7 @@
 # Seconds between two words of a host on what it has counted; each word repeats the one before.
 TELL_SECONDS = 1.0
 # Seconds after a window's end until which it is told again.
-TOLD_SECONDS = 2.0
+REPORTED_PEER_TIMEOUT_SECONDS = 2.0
 # Seconds between two writes of what is counted of the open windows: what is lost with all hosts at
 # once. A write costs one call to the store.
 DRAFT_SECONDS = 2.0
@@ -43,7 +43,7 @@
         list_collectors: Callable[[], Sequence[Member]],
         holds_duties: Callable[[], bool],
         has_workspaces: Callable[[], bool],
-        true_time: TrueTime,
+        true_time: MedianClock,
         seconds: float,
         metrics: Metrics,
     ) -> None:
@@ -117,7 +117,9 @@
     def _tell(self) -> None:
         now = self._true_time.now()
         self.meter.forget_before(self._find_window(now) - KEPT_WINDOWS)
-        fresh = range(self._find_window(now - TOLD_SECONDS), self._find_window(now) + 1)
+        fresh = range(
+            self._find_window(now - REPORTED_PEER_TIMEOUT_SECONDS), self._find_window(now) + 1
+        )
         collectors = self._list_collectors()
         for member in collectors:
             # One who has just come to gather has heard nothing of the windows before.
@@ -160,7 +162,7 @@
     def _add_reports(self, lease: DutyLease, due: Sequence[int]) -> DutyLease:
         drafts = {item.window: item for item in lease.drafts}
         for window in due:
-            counts = self.meter.sum_with(window, drafts.get(window))
+            counts = self.meter.sum_with_draft(window, drafts.get(window))
             doubtful = self._is_doubtful(window)
             if doubtful:
                 log_decision("usage left out", window=window, reason="it may have been reported")
@@ -181,7 +183,7 @@
         for window in windows:
             known = before.get(window)
             sources = set(self.meter.list_sources(window)) | set(known.sources if known else ())
-            counts = self.meter.sum_with(window, known)
+            counts = self.meter.sum_with_draft(window, known)
             drafts.append(UsageDraft(window, counts, tuple(sorted(sources))))
         return replace(lease, drafts=tuple(drafts))
 
--- a/src/swifttrestle/internal/coordination/zone_demand.py
+++ b/src/swifttrestle/internal/coordination/zone_demand.py
@@ -2,7 +2,7 @@
 
 from swifttrestle.internal.state.demand import Demand, DemandMeter
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.peers import SILENCE_SECONDS, PeerTable
+from swifttrestle.internal.state.peers import PEER_TIMEOUT_SECONDS, PeerTable
 
 Offered = dict[str, tuple[float, float, float]]
 
@@ -54,7 +54,7 @@
             if not peer.is_heard(now):
                 self._meter.forget_peer(peer.host)
         for zone, at in list(self._told_at.items()):
-            if now - at >= SILENCE_SECONDS:
+            if now - at >= PEER_TIMEOUT_SECONDS:
                 self.drop_zone(zone)
 
 
--- a/src/swifttrestle/internal/entry/answers.py
+++ b/src/swifttrestle/internal/entry/answers.py
@@ -10,7 +10,7 @@
 from swifttrestle.codes import TABLE, Code
 from swifttrestle.errors import CallerGoneError, RefusedError
 from swifttrestle.internal.protocol.tokens import read_text
-from swifttrestle.internal.transport.pump import Want
+from swifttrestle.internal.transport.pump import WaitFor
 
 LAST_WRITE_SECONDS = 5.0
 STREAM_HEAD = (
@@ -58,7 +58,7 @@
         self._held: list[bytes] = []
         self._unsent = b""
 
-    def write(self, events: bytes) -> Generator[Want, None, None]:
+    def write(self, events: bytes) -> Generator[WaitFor, None, None]:
         """Deliver checked events, waiting for room as long as it takes."""
         if not self._stream:
             self._held.append(events)
@@ -69,7 +69,7 @@
             data = STREAM_HEAD % self._caller_id.encode() + data
         yield from self._send(data)
 
-    def end(self, tokens: int) -> Generator[Want, None, None]:
+    def end(self, tokens: int) -> Generator[WaitFor, None, None]:
         """End a whole answer."""
         if self._stream:
             yield from self._send(LAST_CHUNK)
@@ -115,7 +115,7 @@
         reason = Code.OK.name.encode() if status == TABLE[Code.OK].status else b"Error"
         return WHOLE_HEAD % (status, reason, len(body), self._caller_id.encode(), lines)
 
-    def _send(self, data: bytes) -> Generator[Want, None, None]:
+    def _send(self, data: bytes) -> Generator[WaitFor, None, None]:
         # What a full socket did not take is kept here, so that a stream which is resumed
         # on another engine meanwhile goes on exactly where the caller's bytes end.
         self._unsent += data
@@ -128,4 +128,4 @@
                 raise CallerGoneError("the caller's connection broke") from None
             self._unsent = self._unsent[sent:]
             if self._unsent:
-                yield Want.ROOM
+                yield WaitFor.WRITABLE
--- a/src/swifttrestle/internal/entry/attempts.py
+++ b/src/swifttrestle/internal/entry/attempts.py
@@ -17,7 +17,7 @@
     open_stream,
     start_prefill,
 )
-from swifttrestle.internal.state.upstreams import Selection, UpstreamTable, excluding
+from swifttrestle.internal.state.upstreams import UpstreamRequirements, UpstreamTable, excluding
 
 FIRST_TOKEN_SECONDS = 30.0
 LEAST_WAIT_SECONDS = 0.2
@@ -39,7 +39,7 @@
     address: str
     call: EngineCall
     stream: OpenStream
-    selection: Selection
+    selection: UpstreamRequirements
     work: RequestEstimate
     began: float
 
@@ -92,7 +92,7 @@
         self,
         target: Target,
         call: EngineCall,
-        selection: Selection,
+        selection: UpstreamRequirements,
         work: RequestEstimate,
         seconds: float = FIRST_TOKEN_SECONDS,
     ) -> Attempt:
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -16,7 +16,7 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import Quarantine
 from swifttrestle.internal.state.crash_records import Crash
-from swifttrestle.internal.state.request_fingerprints import RequestName, digest_parts
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint, digest_parts
 
 # Seconds in which the look at an upstream's address must be answered.
 LOOK_SECONDS = 0.3
@@ -27,9 +27,11 @@
 LOOK_PAUSE_SECONDS = 0.02
 
 
-def name_call(workspace: str, path: str, body: bytes) -> RequestName:
+def name_call(workspace: str, path: str, body: bytes) -> RequestFingerprint:
     """Return the name of a request: who sends it, where to, and what."""
-    return RequestName(digest_parts((workspace.encode(), path.encode())), digest_parts((body,)))
+    return RequestFingerprint(
+        digest_parts((workspace.encode(), path.encode())), digest_parts((body,))
+    )
 
 
 class EntryCrashGuard:
@@ -40,10 +42,10 @@
         self._clock = clock
         self._metrics = metrics
         self._quarantine = Quarantine(late_share)
-        self._names: dict[str, RequestName] = {}
+        self._names: dict[str, RequestFingerprint] = {}
         self._lock = threading.Lock()
 
-    def begin(self, request_id: str, name: RequestName) -> None:
+    def begin(self, request_id: str, name: RequestFingerprint) -> None:
         """Keep the name of a request in work; raise RefusedError where it is kept back."""
         with self._lock:
             self._names[request_id] = name
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -23,7 +23,7 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.calls import READ_BYTES, cancel_stream
 from swifttrestle.internal.protocol.tokens import TokenChecker
-from swifttrestle.internal.transport.pump import Pump, Want
+from swifttrestle.internal.transport.pump import Pump, WaitFor
 
 RESUME_SECONDS = 20.0
 RESUME_PAUSE = 0.2
@@ -73,7 +73,7 @@
         call = self._attempt.call
         return TokenChecker(call.request_id, call.attempt, call.offset)
 
-    def _run(self, piece: bytes) -> Generator[Want, None, None]:
+    def _run(self, piece: bytes) -> Generator[WaitFor, None, None]:
         """Relay one attempt: check what came, deliver it, wait for more."""
         checker = self._checker
         sock = self._attempt.stream.sock
@@ -86,7 +86,7 @@
             if checker.whole:
                 yield from self._answer.end(checker.offset)
                 return
-            yield Want.DATA
+            yield WaitFor.DATA
             try:
                 piece = sock.recv(READ_BYTES)
             except BlockingIOError:
--- a/src/swifttrestle/internal/entry/serving.py
+++ b/src/swifttrestle/internal/entry/serving.py
@@ -27,8 +27,8 @@
 from swifttrestle.internal.protocol.calls import EngineCall, PlainAnswer, call_plain
 from swifttrestle.internal.protocol.prefixes import count_tokens, split_blocks
 from swifttrestle.internal.state.config import ConfigStore
-from swifttrestle.internal.state.request_fingerprints import RequestName
-from swifttrestle.internal.state.upstreams import Selection, UpstreamTable, excluding
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
+from swifttrestle.internal.state.upstreams import UpstreamRequirements, UpstreamTable, excluding
 from swifttrestle.internal.transport.http import Exchange, Handler
 from swifttrestle.resources import ResourceSet, Service
 
@@ -175,7 +175,9 @@
         with watched, self._claim(service, terms), _Hold(self, terms.priority):
             attempt = self._open_first(call, selection, work, terms)
         self._metrics.count("accepted_total", service=service.name)
-        answer = CallerAnswer(exchange.hand_over(), call.request_id, terms.caller_id, asked.stream)
+        answer = CallerAnswer(
+            exchange.detach_socket(), call.request_id, terms.caller_id, asked.stream
+        )
         Relay(
             self._parts, answer, attempt, terms.repeatable,
             self._make_done(service, terms, call.request_id),
@@ -184,13 +186,13 @@
 
     def _describe(
         self, asked: Completion, service: Service, terms: Terms
-    ) -> tuple[RequestEstimate, Selection]:
+    ) -> tuple[RequestEstimate, UpstreamRequirements]:
         blocks = split_blocks(asked.prompt)
         prompt_tokens = count_tokens(asked.prompt)
         limit = min(asked.max_tokens or service.max_tokens, service.max_tokens)
         return (
             RequestEstimate(prompt_tokens, limit, terms.priority),
-            Selection(service, prompt_tokens, blocks),
+            UpstreamRequirements(service, prompt_tokens, blocks),
         )
 
     def _make_call(
@@ -209,7 +211,7 @@
         )
 
     def _open_first(
-        self, call: EngineCall, selection: Selection, work: RequestEstimate, terms: Terms
+        self, call: EngineCall, selection: UpstreamRequirements, work: RequestEstimate, terms: Terms
     ) -> Attempt:
         """Wait for room and open a stream; a refusal or a loss may be tried again."""
 
@@ -223,7 +225,7 @@
     def _try(
         self,
         request_id: str,
-        selection: Selection,
+        selection: UpstreamRequirements,
         work: RequestEstimate,
         terms: Terms,
         attempt: Callable[[Target, int], T],
@@ -252,7 +254,11 @@
                 self._metrics.count("retries_total", reason=error.code.name)
 
     def _admit(
-        self, selection: Selection, work: RequestEstimate, terms: Terms, failed: list[str]
+        self,
+        selection: UpstreamRequirements,
+        work: RequestEstimate,
+        terms: Terms,
+        failed: list[str],
     ) -> Target:
         policy = self._config.current.policy
         wanted = excluding(selection, failed)
@@ -300,7 +306,7 @@
         body = exchange.read_body()
         terms = read_terms(exchange, service, workspace, started)
         request_id = self._attempts.make_id()
-        selection = Selection(service)
+        selection = UpstreamRequirements(service)
         work = RequestEstimate(1, 1, terms.priority)
 
         def try_call(target: Target, number: int) -> PlainAnswer:
@@ -333,7 +339,7 @@
         exchange.reply(answer.status, answer.body, answer.content_type, ids)
 
     @contextmanager
-    def _watch(self, request_id: str, name: RequestName) -> Iterator[None]:
+    def _watch(self, request_id: str, name: RequestFingerprint) -> Iterator[None]:
         """Have the guard know the request; where it fails, its id is forgotten."""
         self._guard.begin(request_id, name)
         try:
--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -14,7 +14,7 @@
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.events import EventRelay
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.transport.messages import AnswerHead, Body, Framing
+from swifttrestle.internal.transport.messages import Body, Framing, ResponseHead
 from swifttrestle.internal.transport.pool import ConnectionPool
 from swifttrestle.internal.transport.upstream import OutgoingRequest, UpstreamConnection
 from swifttrestle.platform.wire import (
@@ -58,7 +58,7 @@
 
 async def read_head(
     ctx: Context, connection: UpstreamConnection, plan: AttemptPlan
-) -> tuple[AnswerHead, Body]:
+) -> tuple[ResponseHead, Body]:
     """Send the request and return the checked head of its answer.
 
     Raises UpstreamBusyError or UpstreamLeavingError where the upstream proved that nothing
@@ -111,7 +111,7 @@
     before the caller got a byte of it.
     """
     instance = plan.instance
-    async with pool.borrow(instance.name, instance.record.address) as connection:
+    async with pool.acquire(instance.name, instance.record.address) as connection:
         # It may have said so while the connection came up.
         if instance.leaving:
             raise UpstreamLeavingError(f"{instance.name} leaves")
@@ -129,10 +129,10 @@
             await _stream_answer(ctx, head, body)
         else:
             await _send_whole(ctx, head, body)
-        await pool.give_back(connection, head)
+        await pool.mark_reusable(connection, head)
 
 
-async def _send_whole(ctx: Context, head: AnswerHead, body: Body) -> None:
+async def _send_whole(ctx: Context, head: ResponseHead, body: Body) -> None:
     content = await body.read_whole(max(head.length, LARGEST_GATHERED_ANSWER))
     headers = strip_answer_headers(head.headers)
     ctx.note_first_byte()
@@ -143,7 +143,7 @@
     await ctx.reply.send_whole(head.status, headers, content)
 
 
-async def _stream_answer(ctx: Context, head: AnswerHead, body: Body) -> None:
+async def _stream_answer(ctx: Context, head: ResponseHead, body: Body) -> None:
     headers = strip_answer_headers(head.headers)
     ctx.note_first_byte()
     await ctx.reply.start(head.status, headers, head.framing, head.length)
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.forward.turns import TurnPredictor
 from swifttrestle.internal.policy.queueing import AdmissionQueue
-from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom, Outcome, Stage
+from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity, Outcome, Stage
 from swifttrestle.internal.state.fleet import Instance, OpenWork
 
 # Share of the longest wait for a reading in time that a late request may have at an engine: the
@@ -22,7 +22,7 @@
     """Finds engines for requests and is told how each was used."""
 
     @abstractmethod
-    async def book(self, request: BookingRequest) -> Booking | NoRoom:
+    async def book(self, request: BookingRequest) -> Booking | NoCapacity:
         """Return the engines of a request, or NoRoom once its longest wait is over."""
 
     @abstractmethod
@@ -52,7 +52,7 @@
         for queue in (*self._queues.values(), *self._late.values()):
             queue.serve()
 
-    async def book(self, request: BookingRequest) -> Booking | NoRoom:
+    async def book(self, request: BookingRequest) -> Booking | NoCapacity:
         """Book at once, or as soon as engines have room."""
         began = _now()
         kind = request.service, self._finder.is_short(request)
@@ -73,13 +73,13 @@
             booking = await self._wait_late(kind, request, began)
         if booking is not None:
             return booking
-        return NoRoom(waiting, self._turns.predict_soonest(request.service))
+        return NoCapacity(waiting, self._turns.predict_soonest(request.service))
 
     async def _wait_late(
         self, kind: tuple[str, bool], request: BookingRequest, began: float
     ) -> Booking | None:
         """Wait for what requests in time leave; None at once where that comes too late."""
-        longest = min(request.patience, request.left) - (_now() - began)
+        longest = min(request.max_wait, request.left) - (_now() - began)
         queue = self._late[kind]
         if longest <= 0 or self._turns.predict_late(request, len(queue) + 1) > longest:
             return None
@@ -89,7 +89,7 @@
             ),
             self.release,
             request.priority,
-            began + request.patience,
+            began + request.max_wait,
             longest,
         )
 
@@ -109,7 +109,7 @@
             if outcome is Outcome.DONE:
                 self._state.note_prompt(booking.reader, booking.parts, read=True)
                 if not booking.direct:
-                    booking.reader.learn(booking.ahead, seconds - booking.fetch_seconds)
+                    booking.reader.update_read_rate(booking.ahead, seconds - booking.fetch_seconds)
             else:
                 booking.reader.cache.forget(booking.unread)
             self._release(booking.reader, OpenWork(booking.tokens, 0 if booking.direct else 1))
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -10,8 +10,8 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.state.backpressure import Backpressure
 from swifttrestle.internal.state.fleet import Fleet, Instance
-from swifttrestle.internal.state.upstream_conditions import NEVER, Condition, RateWord
-from swifttrestle.internal.transport.messages import AnswerHead
+from swifttrestle.internal.state.upstream_conditions import NEVER, RateLimit, UpstreamCondition
+from swifttrestle.internal.transport.messages import ResponseHead
 from swifttrestle.platform.backpressure import read_backpressure
 from swifttrestle.platform.wire import is_of_instance, names_request
 
@@ -35,10 +35,10 @@
         """Start with nothing heard; starts are those of `fleet`."""
         self._fleet = fleet
         self._metrics = metrics
-        self._conditions: dict[str, Condition] = defaultdict(Condition)
-        fleet.says_leaving = self.is_leaving
+        self._conditions: dict[str, UpstreamCondition] = defaultdict(UpstreamCondition)
+        fleet.announced_leaving = self.is_leaving
         # Called with a start whose limit this host has heard to be another one.
-        self.announce_limit: Callable[[str, RateWord], None] = ignore
+        self.announce_limit: Callable[[str, RateLimit], None] = ignore
         # Called with a start that has told this host that it leaves.
         self.announce_leaving: Callable[[str], None] = ignore
         # Called when an upstream that was held back may take work again.
@@ -46,33 +46,33 @@
 
     # Asking.
 
-    def find_rate_limit(self, start: str) -> RateWord:
+    def find_rate_limit(self, start: str) -> RateLimit:
         """Return the newest word on a start's limit."""
         known = self._conditions.get(start)
-        return known.word if known else RateWord()
+        return known.rate_limit if known else RateLimit()
 
-    def find_hold(
+    def find_wait_seconds(
         self, instance: Instance, now: float, urgent: bool, permitted: bool = False
     ) -> float:
         """Return the seconds for which an upstream takes no request from this host."""
         known = self._conditions.get(instance.name)
-        return known.find_hold(now, urgent, permitted) if known else 0.0
+        return known.find_wait_seconds(now, urgent, permitted) if known else 0.0
 
     def find_shortest_hold(
         self, instances: Iterable[Instance], now: float, urgent: bool = False
     ) -> float:
         """Return the seconds until one of some upstreams takes a request; 0 where there is none."""
-        return min((self.find_hold(item, now, urgent) for item in instances), default=0.0)
+        return min((self.find_wait_seconds(item, now, urgent) for item in instances), default=0.0)
 
     def check(self, instance: Instance, urgent: bool, permitted: bool = False) -> None:
         """Raise UpstreamHeldError for an upstream that takes no request from this host now."""
-        seconds = self.find_hold(instance, _now(), urgent, permitted)
+        seconds = self.find_wait_seconds(instance, _now(), urgent, permitted)
         if seconds > 0:
             raise UpstreamHeldError(f"{instance.name} takes nothing now", seconds)
 
     # Hearing.
 
-    def record_answer(self, start: str, head: AnswerHead, sent_at: float) -> None:
+    def record_answer(self, start: str, head: ResponseHead, sent_at: float) -> None:
         """Take over what an answer says; its request was sent at the loop's time `sent_at`."""
         instance = self._fleet.instances.get(start)
         if instance is not None and not is_of_instance(
@@ -81,8 +81,8 @@
             # Another one has its address now and speaks for itself.
             return
         said = read_backpressure(head.status, head.headers)
-        if said.odd:
-            self._note_odd(start, said.odd)
+        if said.unreadable:
+            self._note_odd(start, said.unreadable)
         self._hear_rate(start, said, head, sent_at)
         if said.leaving and self.take_leaving(start, OWN):
             self.announce_leaving(start)
@@ -105,18 +105,18 @@
         log_decision("upstream says that it leaves", instance=start, source=source)
         return True
 
-    def apply_rate_limit(self, start: str, word: RateWord, source: str) -> bool:
+    def apply_rate_limit(self, start: str, rate_limit: RateLimit, source: str) -> bool:
         """Take over a word on a start's limit if it is newer; return whether it says otherwise."""
         known = self._conditions.get(start)
-        before = known.word if known else RateWord()
-        if word.at <= before.at:
+        before = known.rate_limit if known else RateLimit()
+        if rate_limit.at <= before.at:
             return False
         condition = self._conditions[start]
-        condition.word = word
-        if not _differs(word.rate, before.rate):
+        condition.rate_limit = rate_limit
+        if not _differs(rate_limit.rate, before.rate):
             return False
         condition.lift_denials()
-        log_decision("upstream limit", instance=start, rate=word.rate, source=source)
+        log_decision("upstream limit", instance=start, rate=rate_limit.rate, source=source)
         self.on_room()
         return True
 
@@ -143,12 +143,12 @@
         return {
             start: {
                 "leaving": known.leaving,
-                "limit": known.word.rate,
-                "limit_heard_before": round(now - known.word.at, 1)
-                if known.word.at > NEVER
+                "limit": known.rate_limit.rate,
+                "limit_heard_before": round(now - known.rate_limit.at, 1)
+                if known.rate_limit.at > NEVER
                 else None,
                 "rests_for": round(max(0.0, known.rest_until - now), 2),
-                "held_for": round(known.find_hold(now, urgent=False), 2),
+                "held_for": round(known.find_wait_seconds(now, urgent=False), 2),
             }
             for start, known in self._conditions.items()
             if known.name != "open" or known.rest_until > now
@@ -167,11 +167,13 @@
                 elif now - known.seen_at > FORGET_SECONDS:
                     del self._conditions[start]
 
-    def _hear_rate(self, start: str, said: Backpressure, head: AnswerHead, sent_at: float) -> None:
-        word = self.find_rate_limit(start)
-        if said.rate is None and not _ends_limit(word, head, sent_at):
+    def _hear_rate(
+        self, start: str, said: Backpressure, head: ResponseHead, sent_at: float
+    ) -> None:
+        rate_limit = self.find_rate_limit(start)
+        if said.rate is None and not _ends_limit(rate_limit, head, sent_at):
             return
-        heard = RateWord(said.rate, _now())
+        heard = RateLimit(said.rate, _now())
         if self.apply_rate_limit(start, heard, OWN):
             self.announce_limit(start, heard)
 
@@ -179,8 +181,8 @@
         """Tell of words that cannot be read, once for each: they may stand in every answer."""
         self._metrics.count("upstream_odd_words_total", len(words))
         condition = self._conditions[start]
-        if words != condition.odd:
-            condition.odd = words
+        if words != condition.unreadable:
+            condition.unreadable = words
             log_decision("upstream word not read", instance=start, words=words)
 
     def _hear_rest(self, start: str, seconds: float | None) -> None:
@@ -202,13 +204,13 @@
     return abs(rate - other) > TOLD_CHANGE_SHARE * other
 
 
-def _ends_limit(word: RateWord, head: AnswerHead, sent_at: float) -> bool:
+def _ends_limit(rate_limit: RateLimit, head: ResponseHead, sent_at: float) -> bool:
     """Return whether an answer that names no limit means that there is none any more.
 
     Others may have been on their way when the limit was named, and calls of the system itself may
     be answered without it.
     """
-    return word.rate is not None and sent_at > word.at and names_request(head.headers)
+    return rate_limit.rate is not None and sent_at > rate_limit.at and names_request(head.headers)
 
 
 def _now() -> float:
--- a/src/swifttrestle/internal/forward/context.py
+++ b/src/swifttrestle/internal/forward/context.py
@@ -8,10 +8,14 @@
 
 from swifttrestle.codes import Code
 from swifttrestle.errors import RefusedError
-from swifttrestle.internal.state.declared import Repeat, Route, ServiceDeclaration, Workspace
+from swifttrestle.internal.state.declared import RetrySafety, Route, ServiceDeclaration, Workspace
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.state.request_fingerprints import RequestName, name_head, name_request
-from swifttrestle.internal.transport.caller import IncomingRequest, Reply
+from swifttrestle.internal.state.request_fingerprints import (
+    RequestFingerprint,
+    fingerprint_head,
+    fingerprint_request,
+)
+from swifttrestle.internal.transport.caller import IncomingRequest, ResponseWriter
 from swifttrestle.internal.transport.messages import Header
 from swifttrestle.platform.wire import RequestFacts
 
@@ -26,7 +30,7 @@
     """
 
     request: IncomingRequest
-    reply: Reply
+    reply: ResponseWriter
     facts: RequestFacts
     headers: list[Header]
     route: Route
@@ -53,7 +57,7 @@
     on_first_byte: Callable[[], None] | None = None
     # Called once with the workspace's name when the request has begun to run.
     on_run: Callable[[str], None] | None = None
-    _name: RequestName | None = None
+    _name: RequestFingerprint | None = None
 
     @property
     def priority(self) -> int:
@@ -65,7 +69,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether the request may run more than once."""
-        return self.route.repeat is Repeat.IDEMPOTENT
+        return self.route.repeat is RetrySafety.IDEMPOTENT
 
     @property
     def left(self) -> float:
@@ -78,16 +82,16 @@
         return asyncio.get_running_loop().time() - self.request.received
 
     @functools.cached_property
-    def name_head(self) -> bytes:
+    def fingerprint_head(self) -> bytes:
         """The half of the request's name that is known before its body has arrived."""
-        return name_head(self.request.head, self.workspace.name if self.workspace else "")
+        return fingerprint_head(self.request.head, self.workspace.name if self.workspace else "")
 
     @property
-    def name(self) -> RequestName | None:
+    def name(self) -> RequestFingerprint | None:
         """The request's name, None while its body is not whole; its bytes are read once."""
         if self._name is None:
             workspace = self.workspace.name if self.workspace else ""
-            self._name = name_request(self.request.head, workspace, self.request.body)
+            self._name = fingerprint_request(self.request.head, workspace, self.request.body)
         return self._name
 
     @contextlib.contextmanager
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -11,9 +11,9 @@
 from swifttrestle.internal.forward.crashes import CrashWatch
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import Quarantine, is_quarantined
-from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle.internal.transport.pool import ConnectionPool
 
 # Seconds after which to ask again while another copy of the request is tried: about as long as a
@@ -23,8 +23,8 @@
 # about as long as a crashed one is away.
 SPARED_SECONDS = 4.0
 
-Teller = Callable[[Sequence[Case]], None]
-AcquittalTeller = Callable[[RequestName, float, bool], None]
+Teller = Callable[[Sequence[CrashRecord]], None]
+AcquittalTeller = Callable[[RequestFingerprint, float, bool], None]
 
 
 class CrashGuard:
@@ -36,17 +36,17 @@
         self.quarantine = quarantine
         self._metrics = metrics
         # Quarantined requests that are tried here now.
-        self._tried: set[RequestName] = set()
+        self._tried: set[RequestFingerprint] = set()
         # Whether no other upstream could take the work of one now, of those whose starts are not
         # among some that have crashed.
         self.is_last: Callable[[Instance, Collection[str]], bool] = _never
         # Asks whether a quarantined request may be tried now; returns 0, or the seconds to wait.
-        self.request_trial: Callable[[RequestName], Awaitable[float]] = _allow_trial
+        self.request_trial: Callable[[RequestFingerprint], Awaitable[float]] = _allow_trial
         # Called with what this host found out: peers need it before the next attempt.
         self.announce_crash_records: Teller = ignore
         self.announce_clearance: AcquittalTeller = ignore
 
-    async def check(self, ctx: Context) -> RequestName | None:
+    async def check(self, ctx: Context) -> RequestFingerprint | None:
         """Return a request's name if something is held against it.
 
         Raises RefusedError for one that is kept from upstreams. Few requests wait here: those
@@ -66,7 +66,9 @@
             raise ctx.refuse(Code.QUARANTINED, "upstreams crashed under this request", seconds)
         return name if case else None
 
-    def _spare_last(self, ctx: Context, name: RequestName | None, instance: Instance) -> None:
+    def _spare_last(
+        self, ctx: Context, name: RequestFingerprint | None, instance: Instance
+    ) -> None:
         """Keep a request under which an upstream has just crashed from the last one that is left.
 
         Its repeat would crash that as well, and nobody would be served until one is back. What has
@@ -77,13 +79,13 @@
             return
         if not self.is_last(instance, [crash.start for crash in case.crashes]):
             return
-        seconds = case.last_at + SPARED_SECONDS - _now()
+        seconds = case.last_crash_at + SPARED_SECONDS - _now()
         if seconds > 0:
             self._metrics.count("quarantine_refusals_total", service=ctx.service.name)
             ctx.note(f"the last upstream is spared {name}")
             raise ctx.refuse(Code.QUARANTINED, "an upstream crashed under this request", seconds)
 
-    async def _find_trial_wait(self, name: RequestName, ctx: Context) -> float:
+    async def _find_trial_wait(self, name: RequestFingerprint, ctx: Context) -> float:
         """Return 0 where a quarantined request may be tried here now, or the seconds to wait."""
         if self._is_tried(name, ctx):
             return TRIED_RETRY_SECONDS
@@ -95,7 +97,7 @@
             ctx.on_trial = True
         return 0.0
 
-    def _is_tried(self, name: RequestName, ctx: Context) -> bool:
+    def _is_tried(self, name: RequestFingerprint, ctx: Context) -> bool:
         """Return whether a quarantined request is tried now, or has been, in this very request.
 
         A try is one attempt: whether that ended its upstream may show only by a later start.
@@ -126,39 +128,39 @@
         if acquits:
             await self._note_answered(ctx)
 
-    def clear_crashes(self, name: RequestName, source: str = "its answer") -> None:
+    def clear_crashes(self, name: RequestFingerprint, source: str = "its answer") -> None:
         """Take over that a request got its own answer here, and tell others of it."""
         case = self.quarantine.find(name)
         now = _now()
         if case is not None and self.apply_clearance(name, now, source):
             self.announce_clearance(name, now, is_quarantined(case))
 
-    def report_crash(self, names: Sequence[RequestName], crash: Crash) -> None:
+    def report_crash(self, names: Sequence[RequestFingerprint], crash: Crash) -> None:
         """Take over a crash that this host saw, and tell others of it."""
         news = [name for name in names if self._note(name, (crash,), "own")]
         self.announce_crash_records(self._find_all(news))
 
-    def merge_crash_records(self, cases: Sequence[Case], source: str) -> list[Case]:
+    def merge_crash_records(self, cases: Sequence[CrashRecord], source: str) -> list[CrashRecord]:
         """Take over what is known elsewhere; return what is known now where that was news."""
         news = [case.name for case in cases if self._note(case.name, case.crashes, source)]
         return self._find_all(news)
 
-    def apply_clearance(self, name: RequestName, at: float, source: str) -> bool:
+    def apply_clearance(self, name: RequestFingerprint, at: float, source: str) -> bool:
         """Take over that a request got its own answer; return whether that was news."""
         if not self.quarantine.clear_crashes(name, at):
             return False
         log_decision("request acquitted", name=str(name), source=source)
         return True
 
-    def _find_all(self, names: Sequence[RequestName]) -> list[Case]:
+    def _find_all(self, names: Sequence[RequestFingerprint]) -> list[CrashRecord]:
         cases = (self.quarantine.find(name) for name in names)
         return [case for case in cases if case is not None]
 
-    async def _find_known(self, ctx: Context) -> RequestName | None:
+    async def _find_known(self, ctx: Context) -> RequestFingerprint | None:
         """Return the request's name if something may be held against it."""
         if not len(self.quarantine):
             return None
-        if not self.quarantine.knows_head(ctx.name_head):
+        if not self.quarantine.knows_head(ctx.fingerprint_head):
             return None
         # A body that never gets whole ends with its caller's connection or the request's time.
         await ctx.request.body.wait_for_end()
@@ -170,11 +172,11 @@
         if name is not None:
             self.clear_crashes(name)
 
-    def _note_crash(self, instance: Instance, names: Sequence[RequestName]) -> None:
+    def _note_crash(self, instance: Instance, names: Sequence[RequestFingerprint]) -> None:
         self._metrics.count("upstream_crashes_total", service=instance.record.service)
         self.report_crash(names, Crash(instance.name, _now()))
 
-    def _note(self, name: RequestName, crashes: Sequence[Crash], source: str) -> bool:
+    def _note(self, name: RequestFingerprint, crashes: Sequence[Crash], source: str) -> bool:
         now = _now()
         if not self.quarantine.note(name, crashes, now):
             return False
@@ -190,7 +192,7 @@
         return True
 
 
-async def _allow_trial(_: RequestName) -> float:
+async def _allow_trial(_: RequestFingerprint) -> float:
     """Let it be tried: nobody else could."""
     return 0.0
 
--- a/src/swifttrestle/internal/forward/crashes.py
+++ b/src/swifttrestle/internal/forward/crashes.py
@@ -13,7 +13,7 @@
 from swifttrestle.errors import UpstreamUnreachedError
 from swifttrestle.internal.event_log import log_decision
 from swifttrestle.internal.state.fleet import Instance
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle.internal.transport.pool import ConnectionPool
 
 # Seconds for which a request that broke off may still turn out to have been open at a crash. An
@@ -36,7 +36,7 @@
 # Requests that a line names.
 MOST_SHOWN = 20
 
-OnCrash = Callable[[Instance, Sequence[RequestName]], None]
+OnCrash = Callable[[Instance, Sequence[RequestFingerprint]], None]
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
     process holds its port.
     """
 
-    name: RequestName
+    name: RequestFingerprint
     at: float
     silent: bool
     doubtful: bool = False
@@ -63,12 +63,12 @@
         self._unsettled: dict[str, list[_Unsettled]] = defaultdict(list)
         self._looks: dict[str, asyncio.Task[None]] = {}
 
-    def note_broken(self, instance: Instance, name: RequestName | None) -> None:
+    def note_broken(self, instance: Instance, name: RequestFingerprint | None) -> None:
         """Take over that a request's connection was lost, and look at the upstream."""
         if self._keep(instance, name, silent=False) and not instance.replaced:
             self._look(instance)
 
-    def note_silent(self, instance: Instance, name: RequestName | None) -> None:
+    def note_silent(self, instance: Instance, name: RequestFingerprint | None) -> None:
         """Take over that a request got no answer in its time, on a connection that still stood."""
         if self._keep(instance, name, silent=True) and instance.gone:
             self._look(instance)
@@ -88,7 +88,7 @@
         if not instance.record.leaving:
             self._settle(instance, "its next start", next_start=True)
 
-    def _keep(self, instance: Instance, name: RequestName | None, *, silent: bool) -> bool:
+    def _keep(self, instance: Instance, name: RequestFingerprint | None, *, silent: bool) -> bool:
         if name is None or instance.record.leaving:
             # An upstream that leaves ends by plan, and may cut what is still open.
             return False
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -30,7 +30,7 @@
     WAIT_SHARE,
     find_patience,
 )
-from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom, Outcome, Stage
+from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity, Outcome, Stage
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.prompt_cache import PromptPart
@@ -118,11 +118,11 @@
             late=ctx.lost_reads > 0,
             excluded=frozenset(ctx.excluded),
             parts=name_parts(ctx),
-            patience=min(ctx.left, find_patience(ctx.route) - ctx.age) * LATE_SHARE,
+            max_wait=min(ctx.left, find_patience(ctx.route) - ctx.age) * LATE_SHARE,
         )
         self._check_holds(ctx, request)
         found = await self._booker.book(request)
-        if isinstance(found, NoRoom):
+        if isinstance(found, NoCapacity):
             raise self._refuse_for_load(ctx, found)
         self._state.metrics.observe("gateway_queue_seconds", ctx.age)
         if not found.direct:
@@ -131,14 +131,14 @@
             f"reader {found.reader.name} wait={found.wait * 1000:.0f}ms unread={found.tokens} "
             f"from {found.source.name if found.source else 'none'} "
             f"decoder {found.decoder.name} open={found.decoder.total.requests} "
-            f"by {found.ticket.host if found.ticket else 'this host'}"
+            f"by {found.reference.host if found.reference else 'this host'}"
         )
         return found
 
     def _check_holds(self, ctx: Context, request: BookingRequest) -> None:
         """Refuse a request at once that would wait in vain for engines that take nothing now."""
         hold = self._find_hold(ctx)
-        if hold > max(request.longest_wait, request.patience):
+        if hold > max(request.longest_wait, request.max_wait):
             reason = "the engines take nothing now by their own word"
             raise ctx.refuse(Code.UPSTREAMS_HELD, reason, max(LEAST_RETRY_AFTER, hold))
 
@@ -148,7 +148,7 @@
         engines = self._state.fleet.list_service(service)
         short = reads_soon(ctx.facts.prompt_tokens, engines)
         roles = (Role.DECODE,) if short else (Role.DECODE, Role.PREFILL)
-        return self._state.find_hold(service, now, roles, ctx.urgent)
+        return self._state.find_wait_seconds(service, now, roles, ctx.urgent)
 
     def _note_arrival(self, ctx: Context, now: float) -> None:
         self._state.budgets.find(ctx.service.name).note_request(now)
@@ -157,19 +157,19 @@
         tokens = 0 if reads_soon(tokens, engines) else tokens
         self._state.demand.note_arrival(ctx.service.name, ctx.route.name, tokens, now)
 
-    def _refuse_for_load(self, ctx: Context, found: NoRoom) -> RefusedError:
+    def _refuse_for_load(self, ctx: Context, found: NoCapacity) -> RefusedError:
         engines = self._state.fleet.list_service(ctx.service.name)
         if not engines:
             return ctx.refuse(Code.NO_UPSTREAM, "no engine is listed", NO_ENGINE_RETRY_AFTER)
         hold = self._find_hold(ctx)
-        retry = self._choose_retry_after(ctx, max(hold, found.soonest))
+        retry = self._choose_retry_after(ctx, max(hold, found.next_free_seconds))
         reason = (
             f"no engine has room: {found.waiting} wait, {len(engines)} engines, "
-            f"soonest free in {found.soonest * 1000:.0f} ms"
+            f"soonest free in {found.next_free_seconds * 1000:.0f} ms"
         )
         return ctx.refuse(Code.UPSTREAMS_HELD if hold else Code.OVERLOADED, reason, retry)
 
-    def _choose_retry_after(self, ctx: Context, soonest: float) -> float:
+    def _choose_retry_after(self, ctx: Context, next_free_seconds: float) -> float:
         """Return when a caller that was refused for load is to come back, in seconds.
 
         Engines that are full now stay so for as long as the swing lasts, so the later a caller
@@ -177,7 +177,7 @@
         """
         longest = min(HONOURED_SHARE * ctx.left, MOST_RETRY_AFTER)
         spread = SOONEST_RETURN + (1 - SOONEST_RETURN) * self._state.rng.random()
-        return max(LEAST_RETRY_AFTER, soonest, longest * spread)
+        return max(LEAST_RETRY_AFTER, next_free_seconds, longest * spread)
 
     # The tokens.
 
@@ -245,7 +245,7 @@
         engines = self._state.list_usable(ctx.service.name, now, ctx.urgent)
         decoder = pick_decoder(engines, self._state.zone, ctx.excluded, now, urgent=ctx.urgent)
         if decoder is None:
-            hold = self._state.find_hold(ctx.service.name, now, (Role.DECODE,), ctx.urgent)
+            hold = self._state.find_wait_seconds(ctx.service.name, now, (Role.DECODE,), ctx.urgent)
             code = Code.UPSTREAMS_HELD if hold else Code.UPSTREAM_REFUSED
             raise ctx.refuse(code, reason, max(LEAST_RETRY_AFTER, hold))
         return decoder
@@ -271,9 +271,9 @@
         relay: EventRelay,
         fetch_from: tuple[str, int] | None,
     ) -> None:
-        patience = ctx.left
+        max_wait = ctx.left
         if ctx.repeatable and ctx.runs + 1 < ctx.route.max_attempts:
-            patience *= FIRST_TOKEN_SHARE
+            max_wait *= FIRST_TOKEN_SHARE
         added = Forwarding(
             decoder.record.instance,
             ctx.left,
@@ -283,7 +283,7 @@
             fetch_from=fetch_from,
         )
         began = asyncio.get_running_loop().time()
-        plan = AttemptPlan(decoder, added, patience)
+        plan = AttemptPlan(decoder, added, max_wait)
         async with self._state.attempt(ctx, decoder):
             await make_attempt(ctx, self._state.pool, plan, relay)
         now = asyncio.get_running_loop().time()
--- a/src/swifttrestle/internal/forward/events.py
+++ b/src/swifttrestle/internal/forward/events.py
@@ -2,7 +2,7 @@
 
 from swifttrestle.errors import UpstreamBrokenError
 from swifttrestle.internal.forward.context import Context
-from swifttrestle.internal.transport.messages import AnswerHead, Body, Framing
+from swifttrestle.internal.transport.messages import Body, Framing, ResponseHead
 from swifttrestle.platform.wire import strip_answer_headers
 
 _END_OF_EVENT = b"\n\n"
@@ -24,7 +24,7 @@
         self.events = 0
         self.started = False
 
-    async def pass_on(self, ctx: Context, head: AnswerHead, body: Body) -> None:
+    async def pass_on(self, ctx: Context, head: ResponseHead, body: Body) -> None:
         """Pass one upstream's stream on to its end; raise UpstreamBrokenError."""
         if not self.started:
             self.started = True
--- a/src/swifttrestle/internal/forward/finding.py
+++ b/src/swifttrestle/internal/forward/finding.py
@@ -62,7 +62,7 @@
         held = (
             item
             for item in self._state.fleet.list_service(service)
-            if self._state.conditions.find_hold(item, now, urgent=True)
+            if self._state.conditions.find_wait_seconds(item, now, urgent=True)
         )
         return any(item.role is Role.PREFILL for item in (*engines, *held))
 
@@ -136,7 +136,7 @@
 
 def reads_soon(tokens: int, engines: list[Instance]) -> bool:
     """Return whether a decoding engine reads so many tokens as soon as another would."""
-    paces = [item.pace for item in engines if item.role is Role.DECODE]
+    paces = [item.effective_read_rate for item in engines if item.role is Role.DECODE]
     return bool(paces) and tokens / max(paces) <= DIRECT_READ_SECONDS
 
 
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -123,7 +123,7 @@
         listed = [
             item
             for item in self.fleet.list_service(service)
-            if not self.conditions.find_hold(item, now, urgent)
+            if not self.conditions.find_wait_seconds(item, now, urgent)
         ]
         usable = [item for item in listed if not self.ejector.is_ejected(item.name, now)]
         return usable or listed
@@ -144,7 +144,9 @@
             for item in listed
         )
 
-    def find_hold(self, service: str, now: float, roles: Collection[Role], urgent: bool) -> float:
+    def find_wait_seconds(
+        self, service: str, now: float, roles: Collection[Role], urgent: bool
+    ) -> float:
         """Return the seconds until an instance of each role takes a request; 0 where some do."""
         listed = self.fleet.list_service(service)
         return max(
@@ -187,7 +189,7 @@
         loop.call_later(LAST_BYTES_SECONDS, self._break_off, former)
 
     def _break_off(self, former: Instance) -> None:
-        self.pool.break_off(former.name)
+        self.pool.abort_all(former.name)
         # The requests that this breaks off notice it in the loop's next turns.
         loop = asyncio.get_running_loop()
         loop.call_later(LAST_BYTES_SECONDS, self.crashes.note_replaced, former)
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -20,7 +20,7 @@
 )
 from swifttrestle.internal.state.declared import Limits, Route, Workspace
 from swifttrestle.internal.state.routes import RouteTable, pick_service
-from swifttrestle.internal.transport.caller import IncomingRequest, Reply, RequestHandler
+from swifttrestle.internal.transport.caller import IncomingRequest, RequestHandler, ResponseWriter
 from swifttrestle.internal.transport.messages import Header, RequestHead
 from swifttrestle.platform.wire import (
     REQUEST_ID,
@@ -76,7 +76,7 @@
         table = self._find_table()
         return table.configuration.limits if table else Limits()
 
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         outcome = "error"
         ctx: Context | None = None
@@ -100,7 +100,7 @@
         finally:
             self._log(request, ctx, code, outcome)
 
-    def _open(self, request: IncomingRequest, reply: Reply) -> Context:
+    def _open(self, request: IncomingRequest, reply: ResponseWriter) -> Context:
         table = self._find_table()
         if table is None:
             raise RefusedError(
@@ -196,7 +196,7 @@
             raise ctx.refuse(Code.DEADLINE_PASSED, "the time is over", 0.1) from None
 
     async def _answer_refusal(
-        self, request: IncomingRequest, reply: Reply, error: RefusedError
+        self, request: IncomingRequest, reply: ResponseWriter, error: RefusedError
     ) -> None:
         if reply.started:
             reply.abort()
--- a/src/swifttrestle/internal/forward/plain.py
+++ b/src/swifttrestle/internal/forward/plain.py
@@ -73,7 +73,7 @@
 
     def _refuse(self, ctx: Context, reason: str, now: float) -> RefusedError:
         """Return the final answer where no instance may be tried."""
-        hold = self._state.find_hold(ctx.service.name, now, (Role.NONE,), ctx.urgent)
+        hold = self._state.find_wait_seconds(ctx.service.name, now, (Role.NONE,), ctx.urgent)
         if hold:
             reason = "each instance takes nothing now by its own word"
             return ctx.refuse(Code.UPSTREAMS_HELD, reason, hold)
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -23,19 +23,19 @@
 )
 from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.permits import (
-    Answer,
-    Ask,
-    AskTrial,
-    Leaving,
+    LeavingUpdate,
     Message,
-    Tell,
+    PermitReply,
+    PermitRequest,
+    RateLimitUpdate,
+    TrialRequest,
     pack_message,
     unpack_message,
 )
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_fingerprints import RequestName
-from swifttrestle.internal.state.upstream_conditions import NEVER, RateWord
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
+from swifttrestle.internal.state.upstream_conditions import NEVER, RateLimit
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
 # Seconds to wait for a keeper's answer: some round trips between zones and a turn of its loop.
@@ -103,7 +103,7 @@
         self._host = host
         self._list_members = list_members
         self._numbers = itertools.count(first_number)
-        self._asked: dict[int, asyncio.Future[Answer]] = {}
+        self._asked: dict[int, asyncio.Future[PermitReply]] = {}
         self._silent_until: dict[str, float] = {}
         # The keepers of starts among these members.
         self._keepers: dict[tuple[str, str], list[Member]] = {}
@@ -146,7 +146,9 @@
             start,
             instance.record.zone,
             lambda: self._count(self._kept, start, urgent),
-            lambda number: Ask(number, start, urgent, self._conditions.find_rate_limit(start)),
+            lambda number: PermitRequest(
+                number, start, urgent, self._conditions.find_rate_limit(start)
+            ),
         )
         if seconds is None:
             seconds = self._count(self._own, start, urgent, len(self._list_members()))
@@ -157,7 +159,7 @@
             self._conditions.deny(start, seconds, urgent)
             raise UpstreamHeldError(f"the limit of {start} leaves none now", seconds)
 
-    async def request_trial(self, name: RequestName) -> float:
+    async def request_trial(self, name: RequestFingerprint) -> float:
         """Return 0 where a quarantined request may be tried here, or the seconds to wait.
 
         One host at a time may: where each let one copy go, as many copies as hosts were under way
@@ -165,7 +167,7 @@
         """
         shown = str(name)
         seconds = await self._ask_keepers(
-            shown, "", lambda: self._count_trial(shown), lambda number: AskTrial(number, shown)
+            shown, "", lambda: self._count_trial(shown), lambda number: TrialRequest(number, shown)
         )
         return TRIAL_SECONDS if seconds is None else seconds
 
@@ -174,7 +176,7 @@
         start: str,
         zone: str,
         count_here: Callable[[], float],
-        make: Callable[[int], Ask | AskTrial],
+        make: Callable[[int], PermitRequest | TrialRequest],
     ) -> float | None:
         """Return what the first keeper that answers says, by `count_here` where that is this host.
 
@@ -212,8 +214,8 @@
         return 0.0
 
     async def _ask_again(
-        self, keeper: Member, make: Callable[[int], Ask | AskTrial]
-    ) -> Answer | None:
+        self, keeper: Member, make: Callable[[int], PermitRequest | TrialRequest]
+    ) -> PermitReply | None:
         if self._silent_until.get(keeper.host, 0.0) > _now():
             return None
         for _ in range(ASK_ATTEMPTS):
@@ -224,9 +226,11 @@
         log_decision("keeper of a limit silent", keeper=keeper.host)
         return None
 
-    async def _ask(self, keeper: Member, make: Callable[[int], Ask | AskTrial]) -> Answer | None:
+    async def _ask(
+        self, keeper: Member, make: Callable[[int], PermitRequest | TrialRequest]
+    ) -> PermitReply | None:
         number = next(self._numbers)
-        waiting: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        waiting: asyncio.Future[PermitReply] = asyncio.get_running_loop().create_future()
         self._asked[number] = waiting
         try:
             self._send(keeper.ip, make(number))
@@ -259,18 +263,20 @@
 
     # Telling.
 
-    def _tell_limit(self, start: str, _: RateWord) -> None:
-        self._tell_twice(lambda: Tell(start, self._conditions.find_rate_limit(start), spread=True))
+    def _tell_limit(self, start: str, _: RateLimit) -> None:
+        self._tell_twice(
+            lambda: RateLimitUpdate(start, self._conditions.find_rate_limit(start), relay=True)
+        )
 
     def _tell_leaving(self, start: str) -> None:
-        self._tell_twice(lambda: Leaving(start, spread=True))
+        self._tell_twice(lambda: LeavingUpdate(start, relay=True))
 
-    def _tell_twice(self, make: Callable[[], Tell | Leaving]) -> None:
+    def _tell_twice(self, make: Callable[[], RateLimitUpdate | LeavingUpdate]) -> None:
         """Tell the others of what this host has heard, and once more what is known by then."""
         self._tell(make())
         asyncio.get_running_loop().call_later(TOLD_AGAIN_SECONDS, lambda: self._tell(make()))
 
-    def _tell(self, message: Tell | Leaving) -> None:
+    def _tell(self, message: RateLimitUpdate | LeavingUpdate) -> None:
         """Tell all hosts, or in a large fleet two that tell all others."""
         members = self._list_members()
         tellers = self._find_keepers(message.start, "")
@@ -280,10 +286,10 @@
         for teller in tellers:
             self._send(teller.ip, message)
 
-    def _tell_all(self, message: Tell | Leaving) -> None:
+    def _tell_all(self, message: RateLimitUpdate | LeavingUpdate) -> None:
         for member in self._list_members():
             if member.host != self._host:
-                self._send(member.ip, replace(message, spread=False))
+                self._send(member.ip, replace(message, relay=False))
 
     def _send(self, ip: str, message: Message) -> None:
         self._socket.send(ip, DatagramKind.PERMIT, pack_message(message, _now()))
@@ -293,25 +299,25 @@
     def _receive(self, data: bytes, ip: str) -> None:
         """Take a peer's message over; raise FrameError."""
         message = unpack_message(data, _now())
-        if isinstance(message, AskTrial):
+        if isinstance(message, TrialRequest):
             seconds = self._count_trial(message.start)
-            self._send(ip, Answer(message.number, message.start, seconds, RateWord()))
+            self._send(ip, PermitReply(message.number, message.start, seconds, RateLimit()))
             return
-        if isinstance(message, Leaving):
+        if isinstance(message, LeavingUpdate):
             news = self._conditions.take_leaving(message.start, ip)
         else:
-            news = self._conditions.apply_rate_limit(message.start, message.word, ip)
+            news = self._conditions.apply_rate_limit(message.start, message.rate_limit, ip)
         match message:
-            case Ask(number, start, urgent, _):
+            case PermitRequest(number, start, urgent, _):
                 seconds = self._count(self._kept, start, urgent)
-                word = self._conditions.find_rate_limit(start)
-                self._send(ip, Answer(number, start, seconds, word))
-            case Answer(number):
+                rate_limit = self._conditions.find_rate_limit(start)
+                self._send(ip, PermitReply(number, start, seconds, rate_limit))
+            case PermitReply(number):
                 waiting = self._asked.get(number)
                 if waiting is not None and not waiting.done():
                     waiting.set_result(message)
-            case Tell() | Leaving():
-                if news and message.spread:
+            case RateLimitUpdate() | LeavingUpdate():
+                if news and message.relay:
                     self._tell_all(message)
 
 
--- a/src/swifttrestle/internal/forward/reading.py
+++ b/src/swifttrestle/internal/forward/reading.py
@@ -85,7 +85,9 @@
         """
         reader, loop = booking.reader, asyncio.get_running_loop()
         use = Use(loop.time())
-        expected = booking.wait + booking.fetch_seconds + booking.tokens / reader.pace
+        expected = (
+            booking.wait + booking.fetch_seconds + booking.tokens / reader.effective_read_rate
+        )
         limit = max(LEAST_READ_SECONDS, READ_PATIENCE * expected)
         try:
             await self._state.permits.reserve(ctx, reader, booking.decoder)
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -29,7 +29,7 @@
     list_schedulers,
 )
 from swifttrestle.internal.protocol.bookings import (
-    Ask,
+    BookingQuery,
     End,
     Grant,
     Message,
@@ -40,11 +40,11 @@
 )
 from swifttrestle.internal.state.bookings import (
     Booking,
+    BookingReference,
     BookingRequest,
-    NoRoom,
+    NoCapacity,
     Outcome,
     Stage,
-    Ticket,
 )
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
@@ -77,7 +77,7 @@
 
     until: float
     weights: dict[str, int]
-    pace: float
+    effective_read_rate: float
 
 
 class ScheduledBooker(Booker):
@@ -119,7 +119,7 @@
         """Look at the waiting requests."""
         self._local.serve_queues()
 
-    async def book(self, request: BookingRequest) -> Booking | NoRoom:
+    async def book(self, request: BookingRequest) -> Booking | NoCapacity:
         """Book by a scheduler, or by this host's own knowledge where all of them are silent."""
         for zone, scheduler in self._choose_schedulers(request):
             placed = replace(request, zone=zone)
@@ -132,14 +132,14 @@
             request = _shorten(request, _now() - began)
         return await self._local.book(request)
 
-    async def _ask(self, scheduler: Member, request: BookingRequest) -> Booking | NoRoom | None:
+    async def _ask(self, scheduler: Member, request: BookingRequest) -> Booking | NoCapacity | None:
         """Return the scheduler's answer; None where none came that can be used."""
         number = next(self._numbers)
         answers: asyncio.Queue[Message] = asyncio.Queue()
         self._asked[number] = answers
-        found: Booking | NoRoom | None = None
+        found: Booking | NoCapacity | None = None
         try:
-            self._send(scheduler.ip, Ask(number, self._exclude_broken(request)))
+            self._send(scheduler.ip, BookingQuery(number, self._exclude_broken(request)))
             found = await self._await_answer(scheduler, answers, request)
             self._silences.pop(scheduler.host, None)
         except TimeoutError:
@@ -165,24 +165,24 @@
         names |= {
             item.name
             for item in engines
-            if self._state.conditions.find_hold(item, now, request.urgent)
+            if self._state.conditions.find_wait_seconds(item, now, request.urgent)
         }
         names |= self._state.fleet.list_leaving(request.service)
         return replace(request, excluded=request.excluded | names) if names else request
 
     async def _await_answer(
         self, scheduler: Member, answers: "asyncio.Queue[Message]", request: BookingRequest
-    ) -> Booking | NoRoom | None:
+    ) -> Booking | NoCapacity | None:
         """Return the scheduler's answer; None for engines that are not known here."""
-        patience = ANSWER_SECONDS
+        max_wait = ANSWER_SECONDS
         while True:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(max_wait):
                 answer = await answers.get()
             match answer:
                 case Wait():
-                    patience = max(request.longest_wait, request.patience) + GRACE_SECONDS
-                case Refuse(_, waiting, soonest):
-                    return NoRoom(waiting, soonest)
+                    max_wait = max(request.longest_wait, request.max_wait) + GRACE_SECONDS
+                case Refuse(_, waiting, next_free_seconds):
+                    return NoCapacity(waiting, next_free_seconds)
                 case Grant():
                     return self._read_grant(scheduler, answer, request)
 
@@ -196,26 +196,26 @@
             log_decision("booking not used", reader=grant.reader, decoder=grant.decoder)
             return None
         assert reader is not None and decoder is not None
-        ticket = Ticket(scheduler.host, grant.number, scheduler.ip)
+        reference = BookingReference(scheduler.host, grant.number, scheduler.ip)
         return Booking(
             reader,
             decoder,
             grant.tokens,
             grant.ahead,
             grant.wait,
-            ticket,
+            reference,
             source=self._state.fleet.instances.get(grant.source),
             fetch_seconds=grant.fetch_seconds,
         )
 
     def end(self, booking: Booking, stage: Stage, outcome: Outcome, seconds: float) -> None:
         """Give an engine back, to the scheduler that keeps the booking."""
-        if booking.ticket is None:
+        if booking.reference is None:
             self._local.end(booking, stage, outcome, seconds)
             return
         if stage is Stage.READ and outcome is Outcome.DONE and not booking.direct:
-            booking.reader.learn(booking.ahead, seconds - booking.fetch_seconds)
-        self._send(booking.ticket.ip, End(booking.ticket.number, stage, outcome, seconds))
+            booking.reader.update_read_rate(booking.ahead, seconds - booking.fetch_seconds)
+        self._send(booking.reference.ip, End(booking.reference.number, stage, outcome, seconds))
 
     def list_schedulers(self) -> set[str]:
         """Return the hosts that schedule engines of any service."""
@@ -244,8 +244,8 @@
             engines = self._state.fleet.list_service(service)
             zones = {item.zone for item in self._list_members() if self._is_near(item.zone)}
             weights = count_engines_by_zone(engines, zones)
-            pace = max((item.pace for item in engines), default=0.0)
-            known = _Homes(_now() + HOMES_SECONDS, weights, pace)
+            effective_read_rate = max((item.effective_read_rate for item in engines), default=0.0)
+            known = _Homes(_now() + HOMES_SECONDS, weights, effective_read_rate)
             self._homes[service] = known
         return known
 
@@ -254,7 +254,9 @@
         if not is_large_fleet(len(self._list_members())):
             return
         homes = self._find_homes(request.service)
-        for zone in list_home_zones(request.parts, homes.weights, homes.pace, request.zone):
+        for zone in list_home_zones(
+            request.parts, homes.weights, homes.effective_read_rate, request.zone
+        ):
             found = self._find_scheduler(request.service, zone if zone in homes.weights else "")
             if found is not None and _now() >= self._silent_until.get(found.host, 0.0):
                 yield zone, found
@@ -290,7 +292,7 @@
     def _receive(self, data: bytes, ip: str) -> None:
         host, message = unpack_message(data)
         match message:
-            case Ask():
+            case BookingQuery():
                 self._scheduler.serve(host, ip, message)
             case End():
                 self._scheduler.end(host, message)
@@ -308,7 +310,7 @@
         request,
         longest_wait=max(0.0, request.longest_wait - waited),
         left=max(0.0, request.left - waited),
-        patience=max(0.0, request.patience - waited),
+        max_wait=max(0.0, request.max_wait - waited),
     )
 
 
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -7,14 +7,14 @@
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.forward.booking import LocalBooker
 from swifttrestle.internal.forward.gateway_state import GatewayState
-from swifttrestle.internal.protocol.bookings import Ask, End, Grant, Message, Refuse, Wait
+from swifttrestle.internal.protocol.bookings import BookingQuery, End, Grant, Message, Refuse, Wait
 from swifttrestle.internal.state.bookings import (
     Booking,
+    BookingReference,
     BookingRequest,
-    NoRoom,
+    NoCapacity,
     Outcome,
     Stage,
-    Ticket,
 )
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
@@ -55,8 +55,8 @@
         self._state = parts
         self._send = send
         self._list_members = list_members
-        self._kept: dict[Ticket, _Kept] = {}
-        self._serving: dict[Ticket, asyncio.Task[None]] = {}
+        self._kept: dict[BookingReference, _Kept] = {}
+        self._serving: dict[BookingReference, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Drop expired bookings for as long as the process lives."""
@@ -64,39 +64,41 @@
             await asyncio.sleep(SWEEP_SECONDS)
             self.sweep(_now())
 
-    def serve(self, host: str, ip: str, ask: Ask) -> None:
+    def serve(self, host: str, ip: str, ask: BookingQuery) -> None:
         """Answer a host with engines, or with the word that its request waits.
 
         Raises FrameError for a booking that is known already.
         """
-        ticket = Ticket(host, ask.number)
-        if ticket in self._serving or ticket in self._kept:
+        reference = BookingReference(host, ask.number)
+        if reference in self._serving or reference in self._kept:
             raise FrameError(f"booking {ask.number} of {host} was asked for twice")
         booking = self._local.book_now(ask.request)
         if booking is not None:
-            self._keep(ticket, ip, ask.request, booking)
+            self._keep(reference, ip, ask.request, booking)
             return
         self._send(ip, Wait(ask.number))
-        task = asyncio.ensure_future(self._serve_waiting(ticket, ip, ask))
-        self._serving[ticket] = task
-        task.add_done_callback(lambda _: self._serving.pop(ticket, None))
+        task = asyncio.ensure_future(self._serve_waiting(reference, ip, ask))
+        self._serving[reference] = task
+        task.add_done_callback(lambda _: self._serving.pop(reference, None))
 
-    async def _serve_waiting(self, ticket: Ticket, ip: str, ask: Ask) -> None:
+    async def _serve_waiting(self, reference: BookingReference, ip: str, ask: BookingQuery) -> None:
         found = await self._local.book(ask.request)
-        if isinstance(found, NoRoom):
-            self._send(ip, Refuse(ask.number, found.waiting, found.soonest))
+        if isinstance(found, NoCapacity):
+            self._send(ip, Refuse(ask.number, found.waiting, found.next_free_seconds))
             return
-        self._keep(ticket, ip, ask.request, found)
+        self._keep(reference, ip, ask.request, found)
 
-    def _keep(self, ticket: Ticket, ip: str, request: BookingRequest, booking: Booking) -> None:
+    def _keep(
+        self, reference: BookingReference, ip: str, request: BookingRequest, booking: Booking
+    ) -> None:
         now = _now()
         decode_until = now + request.left + EXPIRY_SECONDS
         read_until = min(decode_until, now + booking.wait + LONGEST_READ_SECONDS)
-        kept = _Kept(booking, ticket.host, read_until, decode_until)
-        self._kept[ticket] = kept
+        kept = _Kept(booking, reference.host, read_until, decode_until)
+        self._kept[reference] = kept
         reader, decoder = booking.reader.name, booking.decoder.name
         grant = Grant(
-            ticket.number,
+            reference.number,
             reader,
             decoder,
             booking.ahead,
@@ -109,16 +111,16 @@
 
     def end(self, host: str, end: End) -> None:
         """Take back an engine of a host's booking, or its waiting request."""
-        ticket = Ticket(host, end.number)
-        task = self._serving.get(ticket)
+        reference = BookingReference(host, end.number)
+        task = self._serving.get(reference)
         if task is not None:
             task.cancel()
-        kept = self._kept.get(ticket)
+        kept = self._kept.get(reference)
         if kept is None:
             return
         self._end_stage(kept, end.stage, end.outcome, end.seconds)
         if not kept.reading and not kept.decoding:
-            del self._kept[ticket]
+            del self._kept[reference]
 
     def _end_stage(self, kept: _Kept, stage: Stage, outcome: Outcome, seconds: float) -> None:
         if stage is Stage.READ and kept.reading:
@@ -145,14 +147,14 @@
     def sweep(self, now: float) -> None:
         """Drop the bookings of lost hosts and those whose end was never heard of."""
         members = {member.host for member in self._list_members()}
-        for ticket, kept in list(self._kept.items()):
+        for reference, kept in list(self._kept.items()):
             lost = kept.host not in members
             if kept.reading and (lost or now > kept.read_until):
                 self._end_stage(kept, Stage.READ, Outcome.CANCELLED, 0.0)
             if kept.decoding and (lost or now > kept.decode_until):
                 self._end_stage(kept, Stage.DECODE, Outcome.CANCELLED, 0.0)
             if not kept.reading and not kept.decoding:
-                del self._kept[ticket]
+                del self._kept[reference]
 
 
 def _now() -> float:
--- a/src/swifttrestle/internal/forward/turns.py
+++ b/src/swifttrestle/internal/forward/turns.py
@@ -33,7 +33,7 @@
         engines = self._state.list_usable(request.service, _now())
         group = find_scheduling_group(engines, request.zone)
         paces = [
-            item.pace
+            item.effective_read_rate
             for item in engines
             if item.role is Role.PREFILL and group in ("", item.record.zone)
         ]
@@ -54,7 +54,7 @@
         return predict_late_turn(
             Backlog(
                 tokens=waiting * request.tokens * share,
-                capacity=sum(item.pace for item in readers),
+                capacity=sum(item.effective_read_rate for item in readers),
                 offered=self._state.demand.total(service, now).read_tokens * share,
                 share=self._find_share(request, readers),
                 open=sum(item.total.tokens for item in readers),
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -13,7 +13,7 @@
 from swifttrestle.internal.event_log import WRITER
 from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.pages import Page, PageHandler
-from swifttrestle.internal.state.request_fingerprints import read_shown_name
+from swifttrestle.internal.state.request_fingerprints import parse_fingerprint
 from swifttrestle.internal.state_dump import describe_fleet, describe_quarantine
 from swifttrestle.platform.store import ObjectStore
 
@@ -77,7 +77,7 @@
 
     def _lift_quarantine(self, query: bytes) -> Page:
         try:
-            name = read_shown_name(parse_qs(query.decode("latin-1")).get("name", [""])[0])
+            name = parse_fingerprint(parse_qs(query.decode("latin-1")).get("name", [""])[0])
         except ValueError as error:
             return Page(400, content=f"name: {error}\n".encode())
         if self._state.guard.quarantine.find(name) is None:
--- a/src/swifttrestle/internal/pages.py
+++ b/src/swifttrestle/internal/pages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from swifttrestle.internal.state.declared import Limits
-from swifttrestle.internal.transport.caller import IncomingRequest, Reply, RequestHandler
+from swifttrestle.internal.transport.caller import IncomingRequest, RequestHandler, ResponseWriter
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
         """Return the usual limits."""
         return Limits()
 
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer with a page, or 404; 405 for what has to be posted."""
         page = self._find_page(request)
         headers = [(b"Content-Type", page.content_type)]
--- a/src/swifttrestle/internal/policy/capacity.py
+++ b/src/swifttrestle/internal/policy/capacity.py
@@ -17,7 +17,7 @@
 from swifttrestle.internal.policy.role_split import LEAST_DECODERS, PLANNED_SHARE
 from swifttrestle.internal.state.declared import Scaling
 from swifttrestle.internal.state.demand import Demand
-from swifttrestle.internal.state.fleet import UNKNOWN_READ_RATE, Instance
+from swifttrestle.internal.state.fleet import DEFAULT_READ_RATE, Instance
 
 # Seconds for which the highest need counts: some swings of a few seconds, and a wave of eleven.
 PEAK_WINDOW_SECONDS = 60.0
@@ -70,7 +70,7 @@
     readings or so, and an engine that has just come has shown nothing.
     """
     pace = max((item.read_rate for item in engines), default=0.0) * PLANNED_SHARE
-    if pace <= UNKNOWN_READ_RATE * PLANNED_SHARE or demand == Demand():
+    if pace <= DEFAULT_READ_RATE * PLANNED_SHARE or demand == Demand():
         return 0
     slots = sum(item.record.slots for item in engines) / len(engines) * PLANNED_SHARE
     readers = demand.read_tokens / max(1e-9, pace)
--- a/src/swifttrestle/internal/policy/fetching.py
+++ b/src/swifttrestle/internal/policy/fetching.py
@@ -74,7 +74,7 @@
             continue
         far = source.engine.record.zone != reader.record.zone
         seconds = tokens * seconds_per_token * (FAR_COPY_FACTOR if far else 1.0)
-        saved = tokens / reader.pace - seconds
+        saved = tokens / reader.effective_read_rate - seconds
         if saved > most:
             best, most = Fetch(source.engine, tokens, seconds), saved
     return best
--- a/src/swifttrestle/internal/policy/hash_ring.py
+++ b/src/swifttrestle/internal/policy/hash_ring.py
@@ -10,7 +10,10 @@
 from collections.abc import Iterable
 
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_fingerprints import HALF_BYTES, RequestName
+from swifttrestle.internal.state.request_fingerprints import (
+    FINGERPRINT_HALF_BYTES,
+    RequestFingerprint,
+)
 
 # Hosts that keep the case of a request: one may be lost unnoticed.
 KEEPERS = 2
@@ -28,7 +31,7 @@
         self._places = [place for place, _, _ in placed]
         self._members = [item for _, _, item in placed]
 
-    def find(self, name: RequestName) -> list[Member]:
+    def find(self, name: RequestFingerprint) -> list[Member]:
         """Return the keepers of a request's case."""
         first = bisect_right(self._places, name.body)
         count = min(KEEPERS, len(self._members))
@@ -36,4 +39,4 @@
 
 
 def _place(host: str) -> bytes:
-    return hashlib.blake2b(host.encode(), digest_size=HALF_BYTES).digest()
+    return hashlib.blake2b(host.encode(), digest_size=FINGERPRINT_HALF_BYTES).digest()
--- a/src/swifttrestle/internal/policy/home_zones.py
+++ b/src/swifttrestle/internal/policy/home_zones.py
@@ -45,14 +45,15 @@
 
 
 def list_home_zones(
-    parts: Sequence[PromptPart], weights: Mapping[str, int], pace: float, near: str
+    parts: Sequence[PromptPart], weights: Mapping[str, int], effective_read_rate: float, near: str
 ) -> tuple[str, ...]:
-    """Return the zones to book a prompt in, the best first; `pace` is in tokens a second.
+    """Return the zones to book a prompt in, the best first; `effective_read_rate` is in tokens a
+    second.
 
     The last part is the prompt's own. A prompt that shares too little is booked near its caller.
     """
     shared = sum(item.tokens for item in parts[:-1])
-    if not weights or shared < LEAST_READ_SECONDS * pace:
+    if not weights or shared < LEAST_READ_SECONDS * effective_read_rate:
         return (near,)
     return rank_zones(parts[-2].part, weights)[:HOMES]
 
--- a/src/swifttrestle/internal/policy/placement.py
+++ b/src/swifttrestle/internal/policy/placement.py
@@ -113,7 +113,7 @@
     allowed = [
         item
         for item in usable
-        if read_in[item.name] <= min(latest, longest_wait + tokens / item.pace)
+        if read_in[item.name] <= min(latest, longest_wait + tokens / item.effective_read_rate)
     ]
     if not allowed:
         return None
@@ -131,7 +131,7 @@
     kept = min(tokens, item.cache.count(parts))
     fetch = plan(item, kept)
     copied, seconds = (fetch.tokens, fetch.seconds) if fetch else (0, 0.0)
-    return item.predict_wait() + seconds + max(0, tokens - kept - copied) / item.pace
+    return item.predict_wait() + seconds + max(0, tokens - kept - copied) / item.effective_read_rate
 
 
 @lru_cache(RANKS_KEPT)
--- a/src/swifttrestle/internal/policy/quarantine.py
+++ b/src/swifttrestle/internal/policy/quarantine.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from swifttrestle.internal.state.crash_records import Case, Crash
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 
 # Crashes under which a request was open, without an answer since, from which on it is kept from
 # upstreams. Most of what is open at a crash is innocent; little of that is open at the next one.
@@ -68,7 +68,7 @@
     return term
 
 
-def is_quarantined(case: Case) -> bool:
+def is_quarantined(case: CrashRecord) -> bool:
     """Return whether a request's crashes are enough to keep it from upstreams for some time."""
     return len(case.crashes) >= CRASHES_TO_QUARANTINE
 
@@ -101,10 +101,10 @@
         at each host.
         """
         self._late = 1 + RELEASE_JITTER_SHARE * late_share
-        self._known: dict[RequestName, _Known] = {}
+        self._known: dict[RequestFingerprint, _Known] = {}
         self._heads: Counter[bytes] = Counter()
-        self._quarantined: set[RequestName] = set()
-        self._acquitted: dict[RequestName, float] = {}
+        self._quarantined: set[RequestFingerprint] = set()
+        self._acquitted: dict[RequestFingerprint, float] = {}
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
@@ -114,7 +114,7 @@
         """Return whether any remembered request has this half of its name."""
         return head in self._heads
 
-    def note(self, name: RequestName, crashes: Iterable[Crash], now: float) -> bool:
+    def note(self, name: RequestFingerprint, crashes: Iterable[Crash], now: float) -> bool:
         """Take over crashes under a request; return whether one of them is news."""
         known = self._known.get(name) or _Known()
         acquitted_at = self._acquitted.get(name, float("-inf"))
@@ -134,7 +134,7 @@
         self._keep(name, known)
         return True
 
-    def clear_crashes(self, name: RequestName, at: float) -> bool:
+    def clear_crashes(self, name: RequestFingerprint, at: float) -> bool:
         """Take over that a request got its own answer; return whether crashes are forgotten.
 
         What crashes each upstream that runs it never gets one.
@@ -155,12 +155,12 @@
             self._close(name)
         return changed
 
-    def find_answer(self, case: Case) -> float | None:
+    def find_answer(self, case: CrashRecord) -> float | None:
         """Return when a request got its own answer, if that was after all crashes of a case."""
         at = self._acquitted.get(case.name)
-        return at if at is not None and at + TOLD_LATE_SECONDS >= case.last_at else None
+        return at if at is not None and at + TOLD_LATE_SECONDS >= case.last_crash_at else None
 
-    def find_wait(self, name: RequestName, now: float) -> float:
+    def find_wait(self, name: RequestFingerprint, now: float) -> float:
         """Return the seconds until this host lets a request go to an upstream, 0 for at once."""
         known = self._known.get(name)
         term = None if known is None else find_term(known.crashes)
@@ -168,12 +168,12 @@
             return 0.0
         return max(0.0, term.since + term.seconds * self._late - now)
 
-    def find(self, name: RequestName) -> Case | None:
+    def find(self, name: RequestFingerprint) -> CrashRecord | None:
         """Return what is known against a request."""
         known = self._known.get(name)
         return None if known is None else _make_case(name, known)
 
-    def list_quarantined(self) -> list[Case]:
+    def list_quarantined(self) -> list[CrashRecord]:
         """Return the requests that are kept from upstreams, or were until a while ago."""
         return [_make_case(name, self._known[name]) for name in self._quarantined]
 
@@ -183,7 +183,7 @@
             if now - known.order[1] >= CRASH_RETENTION_SECONDS:
                 self._close(name)
 
-    def _keep(self, name: RequestName, known: _Known) -> None:
+    def _keep(self, name: RequestFingerprint, known: _Known) -> None:
         if name not in self._known:
             if len(self._known) >= MOST_CASES:
                 self._drop_some()
@@ -192,7 +192,7 @@
         if len(known.crashes) >= CRASHES_TO_QUARANTINE:
             self._quarantined.add(name)
 
-    def _close(self, name: RequestName) -> None:
+    def _close(self, name: RequestFingerprint) -> None:
         del self._known[name]
         self._quarantined.discard(name)
         self._heads[name.head] -= 1
@@ -205,5 +205,5 @@
             self._close(name)
 
 
-def _make_case(name: RequestName, known: _Known) -> Case:
-    return Case(name, tuple(known.crashes))
+def _make_case(name: RequestFingerprint, known: _Known) -> CrashRecord:
+    return CrashRecord(name, tuple(known.crashes))
--- a/src/swifttrestle/internal/protocol/bookings.py
+++ b/src/swifttrestle/internal/protocol/bookings.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class BookingQuery:
     """Asks for engines; `number` names the booking among all of its host's."""
 
     number: int
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Says that no engine has room; one is predicted to be free in `soonest` seconds."""
+    """Says that no engine has room; one is predicted to be free in `next_free_seconds` seconds."""
 
     number: int
     waiting: int
-    soonest: float
+    next_free_seconds: float
 
 
 @dataclass(frozen=True)
@@ -74,23 +74,23 @@
     seconds: float
 
 
-Message = Ask | Wait | Grant | Refuse | End
+Message = BookingQuery | Wait | Grant | Refuse | End
 
 
 def pack_message(host: str, message: Message) -> bytes:
     """Return the datagram of a message from a host."""
     match message:
-        case Ask(number, request):
+        case BookingQuery(number, request):
             parts = [(item.part, item.tokens) for item in request.parts]
             fields = astuple(replace(request, excluded=frozenset(), parts=()))[:-4]
             values: list[Any] = [MessageKind.ASK, host, number, *fields]
-            values += [sorted(request.excluded), parts, request.patience, request.latest_read]
+            values += [sorted(request.excluded), parts, request.max_wait, request.latest_read]
         case Wait(number):
             values = [MessageKind.WAIT, host, number]
         case Grant():
             values = [MessageKind.GRANT, host, *astuple(message)]
-        case Refuse(number, waiting, soonest):
-            values = [MessageKind.REFUSE, host, number, waiting, soonest]
+        case Refuse(number, waiting, next_free_seconds):
+            values = [MessageKind.REFUSE, host, number, waiting, next_free_seconds]
         case End(number, stage, outcome, seconds):
             values = [MessageKind.END, host, number, int(stage), int(outcome), seconds]
     data: bytes = msgpack.packb(values)
@@ -109,11 +109,11 @@
     match values:
         case [
             MessageKind.ASK, str(host), int(number), *fields, list(excluded), list(parts),
-            patience, latest_read,
+            max_wait, latest_read,
         ]:  # fmt: skip
             read = tuple(PromptPart(*item) for item in parts)
-            asked: list[Any] = [*fields, frozenset(excluded), read, patience, latest_read]
-            return host, Ask(number, BookingRequest(*asked).checked())
+            asked: list[Any] = [*fields, frozenset(excluded), read, max_wait, latest_read]
+            return host, BookingQuery(number, BookingRequest(*asked).checked())
         case [MessageKind.WAIT, str(host), int(number)]:
             return host, Wait(number)
         case [
@@ -123,8 +123,8 @@
             return host, Grant(
                 number, reader, decoder, ahead, float(wait), tokens, source, float(fetch_seconds)
             )
-        case [MessageKind.REFUSE, str(host), int(number), int(waiting), soonest]:
-            return host, Refuse(number, waiting, float(soonest))
+        case [MessageKind.REFUSE, str(host), int(number), int(waiting), next_free_seconds]:
+            return host, Refuse(number, waiting, float(next_free_seconds))
         case [MessageKind.END, str(host), int(number), stage, outcome, seconds]:
             return host, End(number, Stage(stage), Outcome(outcome), float(seconds))
     raise FrameError("a booking datagram is of no known kind")
--- a/src/swifttrestle/internal/protocol/freshness.py
+++ b/src/swifttrestle/internal/protocol/freshness.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class BeliefQuestion:
+class FreshnessQuery:
     """`asked_at` is the asker's steady time, `wall` its time of day in Unix seconds."""
 
     asked_at: float
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class BeliefAnswer:
+class FreshnessReply:
     """Nothing newer than `version` was acknowledged `age` seconds before this was sent.
 
     `asked_at` is the question's. `wall` is the Unix time as the sender takes it to be.
@@ -35,30 +35,30 @@
 
 
 # The longest time in seconds that a datagram may name: more than a host runs, or a date needs.
-LONGEST_SECONDS = 1e12
+MAX_MESSAGE_SECONDS = 1e12
 
 
-def pack_freshness_query(question: BeliefQuestion) -> bytes:
+def pack_freshness_query(question: FreshnessQuery) -> bytes:
     """Return the datagram of a question."""
     data: bytes = msgpack.packb([question.asked_at, question.wall])
     return data
 
 
-def pack_freshness_reply(answer: BeliefAnswer) -> bytes:
+def pack_freshness_reply(answer: FreshnessReply) -> bytes:
     """Return the datagram of an answer."""
     data: bytes = msgpack.packb([answer.asked_at, answer.version, answer.age, answer.wall])
     return data
 
 
-def unpack_belief(data: bytes) -> BeliefQuestion | BeliefAnswer:
+def unpack_freshness(data: bytes) -> FreshnessQuery | FreshnessReply:
     """Return the question or answer of a datagram; raise FrameError."""
     try:
         values: Any = msgpack.unpackb(data)
         match values:
             case [asked_at, wall]:
-                return BeliefQuestion(_read_seconds(asked_at), _read_seconds(wall))
+                return FreshnessQuery(_read_seconds(asked_at), _read_seconds(wall))
             case [asked_at, version, age, wall]:
-                return BeliefAnswer(
+                return FreshnessReply(
                     _read_seconds(asked_at),
                     check_whole(version, 1, LARGEST_SIGNED),
                     _read_seconds(age),
@@ -70,4 +70,4 @@
 
 
 def _read_seconds(value: Any) -> float:
-    return check_number(value, 0, LONGEST_SECONDS)
+    return check_number(value, 0, MAX_MESSAGE_SECONDS)
--- a/src/swifttrestle/internal/protocol/gossip.py
+++ b/src/swifttrestle/internal/protocol/gossip.py
@@ -9,7 +9,7 @@
 from swifttrestle.internal.state.prompt_cache import PromptPart, SentPrompt
 
 # Kept under one packet of the usual links, so that a datagram is never split.
-LARGEST_DATAGRAM = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
 @dataclass(frozen=True)
@@ -64,7 +64,7 @@
         [_write_prompt(item) for item in report.prompts],
     ]
     data: bytes = msgpack.packb(values)
-    if len(data) > LARGEST_DATAGRAM:
+    if len(data) > MAX_DATAGRAM_BYTES:
         values[-2:] = (), ()
         data = msgpack.packb(values)
     return data
--- a/src/swifttrestle/internal/protocol/listings.py
+++ b/src/swifttrestle/internal/protocol/listings.py
@@ -12,11 +12,11 @@
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
 # Kept under one packet of the usual links, so that a datagram is never split.
-LARGEST_DATAGRAM = 1400
+MAX_DATAGRAM_BYTES = 1400
 # How a compressed datagram begins; no list of msgpack does.
 COMPRESSED = b"\x78"
 # Bytes that a compressed datagram may hold: 40 times what fits one, and bounded for its reader.
-LARGEST_CONTENT = 64 * 1024
+MAX_DECOMPRESSED_BYTES = 64 * 1024
 # Seconds for which a host may distrust removals: far over what an outage's end takes.
 LONGEST_DISTRUST_SECONDS = 3600.0
 
@@ -25,13 +25,14 @@
 class ListingChanges:
     """All that changed in the discovery list after `since`, up to `revision`.
 
-    A record that only showed another heartbeat is left out. `distrust` are the seconds for
+    A record that only showed another heartbeat is left out. `removal_distrust_seconds` are the
+    seconds for
     which records that went in an outage of the store may still come back.
     """
 
     since: StoreRevision
     revision: StoreRevision
-    distrust: float
+    removal_distrust_seconds: float
     records: tuple[UpstreamRecord, ...] = ()
     removed: tuple[str, ...] = ()
 
@@ -49,7 +50,7 @@
     return ListingChanges(
         before.since,
         after.revision,
-        after.distrust,
+        after.removal_distrust_seconds,
         records + after.records,
         removed + after.removed,
     )
@@ -63,12 +64,14 @@
     behind then reads the list itself, which all hosts of a zone do at once.
     """
     data = _pack(changes)
-    if len(data) <= LARGEST_DATAGRAM:
+    if len(data) <= MAX_DATAGRAM_BYTES:
         return data
     data = zlib.compress(data)
-    if len(data) <= LARGEST_DATAGRAM:
+    if len(data) <= MAX_DATAGRAM_BYTES:
         return data
-    return _pack(ListingChanges(changes.revision, changes.revision, changes.distrust))
+    return _pack(
+        ListingChanges(changes.revision, changes.revision, changes.removal_distrust_seconds)
+    )
 
 
 def _pack(changes: ListingChanges) -> bytes:
@@ -88,7 +91,7 @@
         for item in changes.records
     ]
     marks = pack_revision(changes.since), pack_revision(changes.revision)
-    values = (*marks, changes.distrust, records, changes.removed)
+    values = (*marks, changes.removal_distrust_seconds, records, changes.removed)
     data: bytes = msgpack.packb(values)
     return data
 
@@ -97,11 +100,11 @@
     """Return the changes of a datagram; raise FrameError."""
     try:
         match msgpack.unpackb(_decompress(data)):
-            case [since, revision, float(distrust), list(records), list(removed)]:
+            case [since, revision, float(removal_distrust_seconds), list(records), list(removed)]:
                 return ListingChanges(
                     unpack_revision(since),
                     unpack_revision(revision),
-                    _check_seconds(distrust),
+                    _check_seconds(removal_distrust_seconds),
                     tuple(_read_record(item) for item in records),
                     tuple(check_text(name) for name in removed),
                 )
@@ -114,9 +117,9 @@
     if not data.startswith(COMPRESSED):
         return data
     reader = zlib.decompressobj()
-    content = reader.decompress(data, LARGEST_CONTENT)
+    content = reader.decompress(data, MAX_DECOMPRESSED_BYTES)
     if not reader.eof:
-        raise ValueError(f"it holds over {LARGEST_CONTENT} bytes, or is cut off")
+        raise ValueError(f"it holds over {MAX_DECOMPRESSED_BYTES} bytes, or is cut off")
     return content
 
 
--- a/src/swifttrestle/internal/protocol/permits.py
+++ b/src/swifttrestle/internal/protocol/permits.py
@@ -9,7 +9,7 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.checks import LARGEST_SIGNED, check_number, check_whole
-from swifttrestle.internal.state.upstream_conditions import RateWord
+from swifttrestle.internal.state.upstream_conditions import RateLimit
 
 # Characters that the name of a start may have in a datagram.
 LONGEST_START = 400
@@ -26,70 +26,72 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class PermitRequest:
     """Asks whether one request may go to a start; `number` tells the sender's asks apart."""
 
     number: int
     start: str
     urgent: bool
-    word: RateWord
+    rate_limit: RateLimit
 
 
 @dataclass(frozen=True)
-class Answer:
+class PermitReply:
     """Says that it may, or after how many `seconds` to ask again; with the newest word known."""
 
     number: int
     start: str
     seconds: float
-    word: RateWord
+    rate_limit: RateLimit
 
 
 @dataclass(frozen=True)
-class Tell:
-    """Tells of a word that the sender has heard; `spread` asks the hearer to tell all others."""
+class RateLimitUpdate:
+    """Tells of a word that the sender has heard; `relay` asks the hearer to tell all others."""
 
     start: str
-    word: RateWord
-    spread: bool = False
+    rate_limit: RateLimit
+    relay: bool = False
 
 
 @dataclass(frozen=True)
-class Leaving:
-    """Tells of a start that has said that it leaves; `spread` as in Tell."""
+class LeavingUpdate:
+    """Tells of a start that has said that it leaves; `relay` as in Tell."""
 
     start: str
-    spread: bool = False
+    relay: bool = False
 
 
 @dataclass(frozen=True)
-class AskTrial:
+class TrialRequest:
     """Asks whether a quarantined request may be tried; `start` is the request's name."""
 
     number: int
     start: str
 
 
-Message = Ask | Answer | Tell | Leaving | AskTrial
+Message = PermitRequest | PermitReply | RateLimitUpdate | LeavingUpdate | TrialRequest
 
 
 def pack_message(message: Message, now: float) -> bytes:
     """Return the datagram of a message; times go as seconds before `now`, the loop's time."""
-    word = RateWord() if isinstance(message, Leaving | AskTrial) else message.word
-    age = max(0.0, now - word.at) if word.at > float("-inf") else None
+    rate_limit = (
+        RateLimit() if isinstance(message, LeavingUpdate | TrialRequest) else message.rate_limit
+    )
+    age = max(0.0, now - rate_limit.at) if rate_limit.at > float("-inf") else None
     values: tuple[Any, ...]
     match message:
-        case Ask(number, start, urgent, _):
+        case PermitRequest(number, start, urgent, _):
             values = (PermitMessageKind.ASK, number, start, urgent)
-        case Answer(number, start, seconds, _):
+        case PermitReply(number, start, seconds, _):
             values = (PermitMessageKind.ANSWER, number, start, seconds)
-        case Tell(start, _, spread):
-            values = (PermitMessageKind.TELL, 0, start, spread)
-        case Leaving(start, spread):
-            values = (PermitMessageKind.LEAVING, 0, start, spread)
-        case AskTrial(number, start):
+        case RateLimitUpdate(start, _, relay):
+            values = (PermitMessageKind.TELL, 0, start, relay)
+        case LeavingUpdate(start, relay):
+            values = (PermitMessageKind.LEAVING, 0, start, relay)
+        case TrialRequest(number, start):
             values = (PermitMessageKind.TRIAL, number, start, False)
-    data: bytes = msgpack.packb((*values, word.rate, age))
+    data: bytes = msgpack.packb((*values, rate_limit.rate, age))
     return data
 
 
@@ -97,27 +99,29 @@
     """Return the message of a datagram that has just come in; raise FrameError."""
     try:
         kind, number, raw_start, value, rate, age = msgpack.unpackb(data)
-        start, word = _read_start(raw_start), _read_word(rate, age, now)
+        start, rate_limit = _read_start(raw_start), _read_word(rate, age, now)
         match PermitMessageKind(kind):
             case PermitMessageKind.ASK:
-                return Ask(check_whole(number, 0, LARGEST_SIGNED), start, bool(value), word)
+                return PermitRequest(
+                    check_whole(number, 0, LARGEST_SIGNED), start, bool(value), rate_limit
+                )
             case PermitMessageKind.ANSWER:
-                return Answer(
-                    check_whole(number, 0, LARGEST_SIGNED), start, _read_seconds(value), word
+                return PermitReply(
+                    check_whole(number, 0, LARGEST_SIGNED), start, _read_seconds(value), rate_limit
                 )
             case PermitMessageKind.TELL:
-                return Tell(start, word, bool(value))
+                return RateLimitUpdate(start, rate_limit, bool(value))
             case PermitMessageKind.LEAVING:
-                return Leaving(start, bool(value))
+                return LeavingUpdate(start, bool(value))
             case PermitMessageKind.TRIAL:
-                return AskTrial(check_whole(number, 0, LARGEST_SIGNED), start)
+                return TrialRequest(check_whole(number, 0, LARGEST_SIGNED), start)
     except (TypeError, ValueError, msgpack.UnpackException) as error:
         raise FrameError(f"a word on a limit cannot be read: {error!r}") from None
 
 
-def _read_word(rate: Any, age: Any, now: float) -> RateWord:
+def _read_word(rate: Any, age: Any, now: float) -> RateLimit:
     at = float("-inf") if age is None else now - _read_seconds(age)
-    return RateWord(None if rate is None else _read_seconds(rate), at)
+    return RateLimit(None if rate is None else _read_seconds(rate), at)
 
 
 def _read_start(raw: Any) -> str:
--- a/src/swifttrestle/internal/protocol/rosters.py
+++ b/src/swifttrestle/internal/protocol/rosters.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Mark:
+class RosterConfirmation:
     """Confirms a roster: its digest, and how many seconds ago it was true."""
 
     digest: bytes
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Summary:
+class RosterSummary:
     """What a representative tells its zone and the other zones' representatives.
 
     `own` is the mark of its own zone's roster, `others` are those that it heard from other
@@ -75,21 +75,21 @@
     config_version: int
     store_unreachable: bool
     role_holder: str
-    own: Mark
-    others: tuple[Mark, ...] = ()
+    own: RosterConfirmation
+    others: tuple[RosterConfirmation, ...] = ()
     demand: dict[str, tuple[float, float, float]] = field(default_factory=dict)
     roles: dict[str, tuple[str, float]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Wanted:
+class RosterRequest:
     """Asks for the entries of rosters."""
 
     digests: tuple[bytes, ...]
 
 
 @dataclass(frozen=True)
-class Part:
+class RosterPart:
     """Some entries of a roster; `number` counts from 0 to `parts` - 1."""
 
     digest: bytes
@@ -99,22 +99,22 @@
     members: tuple[Member, ...]
 
 
-RosterMessage = Summary | Wanted | Part
+RosterMessage = RosterSummary | RosterRequest | RosterPart
 
 
-def split_roster(roster: Roster) -> Iterator[Part]:
+def split_roster(roster: Roster) -> Iterator[RosterPart]:
     """Yield the parts of a roster, each for one datagram."""
     digest = roster.digest()
     starts = range(0, max(1, len(roster.members)), ENTRIES_PER_PART)
     for number, start in enumerate(starts):
         members = roster.members[start : start + ENTRIES_PER_PART]
-        yield Part(digest, roster.zone, number, len(starts), members)
+        yield RosterPart(digest, roster.zone, number, len(starts), members)
 
 
 def pack_roster_message(message: RosterMessage) -> bytes:
     """Return the datagram of a message."""
     match message:
-        case Summary():
+        case RosterSummary():
             marks = [(mark.digest, mark.age) for mark in (message.own, *message.others)]
             values: list[Any] = [
                 RosterMessageKind.SUMMARY,
@@ -129,9 +129,9 @@
                 message.demand,
                 message.roles,
             ]
-        case Wanted(digests):
+        case RosterRequest(digests):
             values = [RosterMessageKind.WANTED, digests]
-        case Part(digest, zone, number, parts, members):
+        case RosterPart(digest, zone, number, parts, members):
             entries = [(item.host, item.ip, item.link_mbps) for item in members]
             values = [RosterMessageKind.PART, digest, zone, number, parts, entries]
     data: bytes = msgpack.packb(values)
@@ -153,7 +153,7 @@
             int(version), bool(store_unreachable), str(holder), [own, *others], dict(demand),
             dict(roles),
         ]:  # fmt: skip
-            return Summary(
+            return RosterSummary(
                 host, zone, link, incarnation, version, store_unreachable, holder,
                 _read_mark(own), tuple(map(_read_mark, others)),
                 {
@@ -163,17 +163,19 @@
                 {str(name): (str(role), float(wait)) for name, (role, wait) in roles.items()},
             )  # fmt: skip
         case [RosterMessageKind.WANTED, list(digests)]:
-            return Wanted(tuple(_read_digest(item) for item in digests))
+            return RosterRequest(tuple(_read_digest(item) for item in digests))
         case [
             RosterMessageKind.PART, digest, str(zone), int(number), int(parts), list(entries)
         ] if 0 <= number < parts <= MOST_PARTS:  # fmt: skip
-            return Part(_read_digest(digest), zone, number, parts, _read_members(zone, entries))
+            return RosterPart(
+                _read_digest(digest), zone, number, parts, _read_members(zone, entries)
+            )
     raise FrameError("a roster datagram is of no known kind")
 
 
-def _read_mark(value: Any) -> Mark:
+def _read_mark(value: Any) -> RosterConfirmation:
     digest, age = value
-    return Mark(_read_digest(digest), float(age))
+    return RosterConfirmation(_read_digest(digest), float(age))
 
 
 def _read_digest(value: Any) -> bytes:
--- a/src/swifttrestle/internal/state/backpressure.py
+++ b/src/swifttrestle/internal/state/backpressure.py
@@ -9,14 +9,15 @@
 
     `rest` is for how many seconds it wants nothing from this host, 0 where it asks for none and
     None where the time that it names cannot be read. `rate` is how many requests a second it takes
-    from all hosts together, None where it names no limit. `odd` holds what could not be read, as
+    from all hosts together, None where it names no limit. `unreadable` holds what could not be
+    read, as
     texts of name and value.
     """
 
     leaving: bool = False
     rest: float | None = 0.0
     rate: float | None = None
-    odd: tuple[str, ...] = ()
+    unreadable: tuple[str, ...] = ()
 
 
-SILENT = Backpressure()
+NO_BACKPRESSURE = Backpressure()
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -30,7 +30,7 @@
     """What decides which engines serve a request; times in seconds from now.
 
     `left` is the time to the deadline, `longest_wait` the time that it may wait for engines and
-    still be in time, `patience` the time that it may wait in all, from what others leave;
+    still be in time, `max_wait` the time that it may wait in all, from what others leave;
     `longest_read_wait` the predicted wait for its reading that is short enough: less by
     what it has waited before, unless `late`, where its objective is over in any case. Its prompt
     must be read within `latest_read` for it to be in time.
@@ -49,7 +49,7 @@
     late: bool = False
     excluded: frozenset[str] = field(default_factory=frozenset)
     parts: tuple[PromptPart, ...] = ()
-    patience: float = 0.0
+    max_wait: float = 0.0
     latest_read: float = math.inf
 
     def checked(self) -> "BookingRequest":
@@ -62,7 +62,7 @@
             self.left,
             self.longest_wait,
             self.longest_read_wait,
-            self.patience,
+            self.max_wait,
             self.latest_read,
         )
         numbers += tuple(item.tokens for item in self.parts)
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True)
-class Ticket:
+class BookingReference:
     """The name of a booking between two hosts, and the IP of the one that is talked to."""
 
     host: str
@@ -88,7 +88,7 @@
 
     Both are the same where the decoding engine reads the prompt itself. `tokens` are those that
     the reader neither keeps nor fetches, `ahead` those to be read at the reader, these included,
-    and `wait` its predicted wait in seconds, both from the moment of booking. `ticket` is set
+    and `wait` its predicted wait in seconds, both from the moment of booking. `reference` is set
     where another host keeps the booking; `parts` are those of the prompt, `unread` those of
     them that the reader does not keep. `source` is the engine that it fetches some of these
     from, which takes `fetch_seconds`.
@@ -99,7 +99,7 @@
     tokens: int
     ahead: int = 0
     wait: float = 0.0
-    ticket: Ticket | None = None
+    reference: BookingReference | None = None
     parts: tuple[PromptPart, ...] = ()
     unread: tuple[PromptPart, ...] = ()
     source: Instance | None = None
@@ -112,8 +112,8 @@
 
 
 @dataclass(frozen=True)
-class NoRoom:
+class NoCapacity:
     """No engine was found in time: how many waited, and when one is predicted to be free."""
 
     waiting: int
-    soonest: float
+    next_free_seconds: float
--- a/src/swifttrestle/internal/state/config.py
+++ b/src/swifttrestle/internal/state/config.py
@@ -64,7 +64,7 @@
         with self._lock:
             return [self._shards[name] for name in names if name in self._shards]
 
-    def find_behind(self, epochs: dict[str, int]) -> tuple[str, ...]:
+    def find_outdated(self, epochs: dict[str, int]) -> tuple[str, ...]:
         """Return the names of shards for which another process has a higher epoch."""
         with self._lock:
             return tuple(name for name, epoch in epochs.items() if epoch > self._epoch_of(name))
--- a/src/swifttrestle/internal/state/config_freshness.py
+++ b/src/swifttrestle/internal/state/config_freshness.py
@@ -5,7 +5,7 @@
 from swifttrestle.internal.state.peers import NEVER
 
 
-class ConfigurationBelief:
+class ConfigurationFreshness:
     """The latest time at which nothing newer than the version in force was acknowledged.
 
     All times are steady seconds of this host, suspended ones among them. A proof is dated by the
--- a/src/swifttrestle/internal/state/crash_records.py
+++ b/src/swifttrestle/internal/state/crash_records.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 
 
 @dataclass(frozen=True)
@@ -14,13 +14,13 @@
 
 
 @dataclass(frozen=True)
-class Case:
+class CrashRecord:
     """A request, with the latest crashes that it was open at since its last answer."""
 
-    name: RequestName
+    name: RequestFingerprint
     crashes: tuple[Crash, ...]
 
     @property
-    def last_at(self) -> float:
+    def last_crash_at(self) -> float:
         """When the latest crash was, in the loop's time."""
         return max(crash.at for crash in self.crashes)
--- a/src/swifttrestle/internal/state/declared.py
+++ b/src/swifttrestle/internal/state/declared.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class RetrySafety(Enum):
     """How often a request of a route may run."""
 
     IDEMPOTENT = "idempotent"
@@ -88,7 +88,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RetrySafety
     streaming: bool
     resumable: bool
     timeout: float
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -10,7 +10,7 @@
 
 # Tokens a second that an engine reads until its speed has been measured; low, so that the
 # first measurement corrects it upwards and no engine is flooded before.
-UNKNOWN_READ_RATE = 100_000.0
+DEFAULT_READ_RATE = 100_000.0
 # Share of the newest measurement in the learned speed: about ten requests of memory.
 LEARN_SHARE = 0.1
 # Measurements below this many tokens say more of the network than of the engine.
@@ -37,7 +37,7 @@
         return OpenWork(self.tokens - other.tokens, self.requests - other.requests)
 
 
-NOTHING = OpenWork()
+NO_WORK = OpenWork()
 
 
 @dataclass
@@ -45,9 +45,9 @@
     """One start of an upstream; times are the loop's seconds."""
 
     record: UpstreamRecord
-    own: OpenWork = NOTHING
-    peers: OpenWork = NOTHING
-    read_rate: float = UNKNOWN_READ_RATE
+    own: OpenWork = NO_WORK
+    peers: OpenWork = NO_WORK
+    read_rate: float = DEFAULT_READ_RATE
     refused_until: float = float("-inf")
     ordered_role: Role | None = None
     role_changing_until: float = float("-inf")
@@ -72,7 +72,7 @@
         return self.own.plus(self.peers)
 
     @property
-    def pace(self) -> float:
+    def effective_read_rate(self) -> float:
         """Prompt tokens that it reads a second in its present role."""
         share = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
         return self.read_rate * share
@@ -88,9 +88,9 @@
 
     def predict_wait(self) -> float:
         """Return the seconds until what is open here has been read."""
-        return max(0, self.total.tokens) / self.pace
+        return max(0, self.total.tokens) / self.effective_read_rate
 
-    def learn(self, tokens: int, seconds: float) -> None:
+    def update_read_rate(self, tokens: int, seconds: float) -> None:
         """Learn the speed from tokens that were read in some time, with all that stood before."""
         if tokens < LEAST_LEARN_TOKENS or seconds <= 0:
             return
@@ -128,7 +128,7 @@
         # What services declare of their engines, by service.
         self.traits: dict[str, EngineTraits] = {}
         # Whether a start has said in its own answers that it leaves.
-        self.says_leaving: Callable[[str], bool] = _never
+        self.announced_leaving: Callable[[str], bool] = _never
         self._services: dict[str, dict[str, Instance]] = defaultdict(dict)
         self._peers: dict[str, _PeerWork] = {}
 
@@ -173,7 +173,7 @@
         name = self._starts.get(instance)
         return None if name is None else self.instances[name]
 
-    def is_old_word(self, record: UpstreamRecord) -> bool:
+    def is_stale_record(self, record: UpstreamRecord) -> bool:
         """Return whether a record is of an earlier start than the one in use."""
         known = self.find_start(record.instance)
         return known is not None and record.born < known.record.born
@@ -185,10 +185,10 @@
         of an earlier start than the one in use is an old word and changes nothing. What a start
         has said itself counts against a list that still calls it ready: the store may be away.
         """
-        if not record.leaving and self.says_leaving(record.start):
+        if not record.leaving and self.announced_leaving(record.start):
             record = replace(record, leaving=True)
         known = self.find_start(record.instance)
-        if known is not None and (known.record == record or self.is_old_word(record)):
+        if known is not None and (known.record == record or self.is_stale_record(record)):
             return False
         if known is not None and known.name != record.start:
             self._replace(known)
@@ -265,7 +265,7 @@
 
     def own_work(self) -> dict[str, OpenWork]:
         """Return what this host has open, by instance."""
-        return {name: item.own for name, item in self.instances.items() if item.own != NOTHING}
+        return {name: item.own for name, item in self.instances.items() if item.own != NO_WORK}
 
     def _add(self, items: Iterable[tuple[str, OpenWork]], sign: int) -> None:
         for name, work in items:
@@ -278,4 +278,4 @@
 
     def _guess_rate(self, service: str) -> float:
         rates = [item.read_rate for item in self._services[service].values()]
-        return sum(rates) / len(rates) if rates else UNKNOWN_READ_RATE
+        return sum(rates) / len(rates) if rates else DEFAULT_READ_RATE
--- a/src/swifttrestle/internal/state/median_clock.py
+++ b/src/swifttrestle/internal/state/median_clock.py
@@ -15,7 +15,7 @@
 WORD_SECONDS = 5.0
 
 
-class TrueTime:
+class MedianClock:
     """The median of the hosts' clocks; used from the event loop alone."""
 
     def __init__(
--- a/src/swifttrestle/internal/state/peers.py
+++ b/src/swifttrestle/internal/state/peers.py
@@ -6,13 +6,13 @@
 from swifttrestle.internal.state.members import Member
 
 # Seconds of silence after which a peer counts as gone: four lost heartbeats.
-SILENCE_SECONDS = 2.0
+PEER_TIMEOUT_SECONDS = 2.0
 # The same for a peer that only others told of: their words are up to a second older, two
 # heartbeats from host to host, and a lost host is withdrawn by a word of its own.
-TOLD_SECONDS = 3.0
+REPORTED_PEER_TIMEOUT_SECONDS = 3.0
 # Seconds for which a peer that said it stops counts as leaving: by then no roster that was
 # made before that word is in use any more, and its next start speaks for itself.
-LEAVING_SECONDS = 2 * SILENCE_SECONDS
+LEAVING_SECONDS = 2 * PEER_TIMEOUT_SECONDS
 # Seconds for which a peer's word on the store counts: two heartbeats. In a large fleet it may be
 # the last one for long, and an outage may follow it.
 VOUCHING_SECONDS = 1.2
@@ -34,7 +34,7 @@
     link_mbps: float = 0.0
     incarnation: int = 0
     heard_at: float = NEVER
-    told_at: float = NEVER
+    reported_at: float = NEVER
     leaving_at: float = NEVER
     held_duty_lease_at: float = NEVER
     store_unreachable_at: float = NEVER
@@ -44,11 +44,11 @@
 
     def is_heard(self, now: float) -> bool:
         """Return whether it has itself spoken to this host of late."""
-        return now - self.heard_at < SILENCE_SECONDS
+        return now - self.heard_at < PEER_TIMEOUT_SECONDS
 
     def is_seen(self, now: float) -> bool:
         """Return whether it has spoken to this host, or to one that told of it, of late."""
-        return self.is_heard(now) or now - self.told_at < TOLD_SECONDS
+        return self.is_heard(now) or now - self.reported_at < REPORTED_PEER_TIMEOUT_SECONDS
 
     def is_live(self, now: float) -> bool:
         """Return whether it takes part: seen, and not leaving."""
@@ -56,11 +56,11 @@
 
     def holds_duty_lease(self, now: float) -> bool:
         """Return whether it was said of late to hold the lease on roles."""
-        return now - self.held_duty_lease_at < SILENCE_SECONDS
+        return now - self.held_duty_lease_at < PEER_TIMEOUT_SECONDS
 
     def store_unreachable(self, now: float) -> bool:
         """Return whether it said of late that it cannot reach the store."""
-        return now - self.store_unreachable_at < SILENCE_SECONDS
+        return now - self.store_unreachable_at < PEER_TIMEOUT_SECONDS
 
 
 @dataclass(frozen=True)
@@ -91,40 +91,42 @@
         # Rises with each change of the members, so that what follows from them can be kept.
         self.version = 0
 
-    def greet(self, ip: str) -> None:
+    def add_seed(self, ip: str) -> None:
         """Take up a host of which only the IP is known; its answer tells who it is."""
         if ip != self._me.ip and all(peer.ip != ip for peer in self.peers.values()):
             self.peers[f"seed {ip}"] = Peer(f"seed {ip}", ip)
 
-    def learn(self, host: str, ip: str) -> None:
+    def add_peer(self, host: str, ip: str) -> None:
         """Take up a host that somebody named."""
         if host and ip and host != self._me.host and host not in self.peers:
             self.peers[host] = Peer(host, ip)
 
-    def note_heard(self, beat: Heartbeat, now: float) -> bool:
+    def note_heard(self, heartbeat: Heartbeat, now: float) -> bool:
         """Take a peer's own word over; return whether it was not among the members before."""
-        member = beat.member
+        member = heartbeat.member
         self.peers.pop(f"seed {member.ip}", None)
         peer = self.peers.setdefault(member.host, Peer(member.host, member.ip))
-        if beat.incarnation < peer.incarnation and peer.is_heard(now):
+        if heartbeat.incarnation < peer.incarnation and peer.is_heard(now):
             # A late datagram of an earlier start. A peer that has been silent may have come
             # back with a lower number: the time of day, which it is taken from, can jump.
             return False
         was_live = peer.is_live(now)
         peer.ip, peer.zone, peer.link_mbps = member.ip, member.zone, member.link_mbps
-        peer.incarnation = beat.incarnation
+        peer.incarnation = heartbeat.incarnation
         peer.heard_at = now
-        peer.leaving_at = now if beat.leaving else NEVER
-        peer.held_duty_lease_at = now if beat.holds_duty_lease else NEVER
-        peer.store_unreachable_at = now if beat.store_unreachable else NEVER
-        if beat.store_seconds is not None:
-            peer.store_since = now - beat.store_seconds if beat.store_seconds > 0 else UNKNOWN
+        peer.leaving_at = now if heartbeat.leaving else NEVER
+        peer.held_duty_lease_at = now if heartbeat.holds_duty_lease else NEVER
+        peer.store_unreachable_at = now if heartbeat.store_unreachable else NEVER
+        if heartbeat.store_seconds is not None:
+            peer.store_since = (
+                now - heartbeat.store_seconds if heartbeat.store_seconds > 0 else UNKNOWN
+            )
             peer.store_told_at = now
-        if was_live is beat.leaving:
+        if was_live is heartbeat.leaving:
             self._kept_until = NEVER
-        return not was_live and not beat.leaving
+        return not was_live and not heartbeat.leaving
 
-    def note_told(self, members: Iterable[Member], at: float, now: float) -> None:
+    def note_reported(self, members: Iterable[Member], at: float, now: float) -> None:
         """Take over that members lived at a time, by the word of a host that heard them."""
         for member in members:
             if member.host == self._me.host:
@@ -137,13 +139,13 @@
                 peer.ip, peer.zone, peer.link_mbps = member.ip, member.zone, member.link_mbps
             if not peer.is_seen(now):
                 self._kept_until = NEVER
-            peer.told_at = max(peer.told_at, at)
+            peer.reported_at = max(peer.reported_at, at)
 
     def withdraw(self, host: str) -> None:
         """Take over that nobody hears a host any more who told of it before."""
         peer = self.peers.get(host)
         if peer is not None:
-            peer.told_at = NEVER
+            peer.reported_at = NEVER
             self._kept_until = NEVER
 
     def list_members(self, now: float) -> tuple[Member, ...]:
--- a/src/swifttrestle/internal/state/store_epochs.py
+++ b/src/swifttrestle/internal/state/store_epochs.py
@@ -64,7 +64,7 @@
             raise OldEpochError(f"the answer is of epoch {named}, the store is in {self.current}")
         self._begin(named, now)
 
-    def note_odd(self, text: str) -> None:
+    def note_unreadable(self, text: str) -> None:
         """Tell once of an epoch that cannot be read."""
         if text != self._told_odd:
             self._told_odd = text
--- a/src/swifttrestle/internal/state/upstream_conditions.py
+++ b/src/swifttrestle/internal/state/upstream_conditions.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class RateWord:
+class RateLimit:
     """How many requests a second an upstream takes from all hosts, None for no limit.
 
     `at` is the loop's time at which that was heard.
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Condition:
+class UpstreamCondition:
     """What one start of an upstream takes; times are the loop's.
 
     `rest_until` is when it wants to hear from this host again, `tried_until` until when one request
@@ -28,7 +28,7 @@
     """
 
     leaving: bool = False
-    word: RateWord = RateWord()
+    rate_limit: RateLimit = RateLimit()
     rest_until: float = NEVER
     tried_until: float = NEVER
     # Whether no answer has come yet since it asked for rest.
@@ -36,16 +36,16 @@
     denied_until: dict[bool, float] = field(default_factory=dict)
     seen_at: float = 0.0
     # Its last words that could not be read.
-    odd: tuple[str, ...] = ()
+    unreadable: tuple[str, ...] = ()
 
     @property
     def name(self) -> str:
         """The condition in one word, the gravest first, as metrics label it."""
         if self.leaving:
             return "leaving"
-        return "limited" if self.word.rate is not None else "open"
+        return "limited" if self.rate_limit.rate is not None else "open"
 
-    def find_hold(self, now: float, urgent: bool, permitted: bool = False) -> float:
+    def find_wait_seconds(self, now: float, urgent: bool, permitted: bool = False) -> float:
         """Return the seconds for which it takes no request from this host, 0 where it takes one.
 
         What its limit leaves to others does not hold back a request that has a permit.
--- a/src/swifttrestle/internal/state/upstreams.py
+++ b/src/swifttrestle/internal/state/upstreams.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Selection:
+class UpstreamRequirements:
     """What a request needs of an upstream; `version` is set once a stream has begun."""
 
     service: Service
@@ -92,7 +92,7 @@
             upstreams = self._config.upstreams.values()
             return {u.name: u.address for u in upstreams if u.type == "engine"}
 
-    def candidates(self, wanted: Selection) -> list[Candidate]:
+    def candidates(self, wanted: UpstreamRequirements) -> list[Candidate]:
         """Return the upstreams that may take a request now."""
         now = self._clock.now()
         with self._lock:
@@ -109,7 +109,9 @@
             usable = fresh or usable
             return self._describe_engines(usable, wanted, now)
 
-    def _is_usable(self, name: str, state: UpstreamState, wanted: Selection, now: float) -> bool:
+    def _is_usable(
+        self, name: str, state: UpstreamState, wanted: UpstreamRequirements, now: float
+    ) -> bool:
         upstream = self._config.upstreams.get(name)
         if upstream is None or name in self._config.drains:
             return False
@@ -121,7 +123,7 @@
             return upstream.type == "plain" and wanted.service.name in upstream.services
         return self._holds_what_is_wanted(state, wanted)
 
-    def _holds_what_is_wanted(self, state: UpstreamState, wanted: Selection) -> bool:
+    def _holds_what_is_wanted(self, state: UpstreamState, wanted: UpstreamRequirements) -> bool:
         report = state.report
         model = self._config.models.get(wanted.service.model)
         if report is None or model is None or report.leaving or report.state.changing:
@@ -142,7 +144,7 @@
         return f"{adapter.name}@{adapter.version}" if adapter else ""
 
     def _describe_engines(
-        self, usable: list[UpstreamState], wanted: Selection, now: float
+        self, usable: list[UpstreamState], wanted: UpstreamRequirements, now: float
     ) -> list[Candidate]:
         described = {"mixed": [], "prefill": [], "decode": []}  # type: dict[str, list[Candidate]]
         for state in usable:
@@ -166,7 +168,9 @@
             ]
         return found
 
-    def _describe(self, state: UpstreamState, wanted: Selection, now: float) -> Candidate:
+    def _describe(
+        self, state: UpstreamState, wanted: UpstreamRequirements, now: float
+    ) -> Candidate:
         upstream, report = state.upstream, state.report
         cutoff = state.reported_at - ASSUMED_LAG
         recent = [tokens for at, tokens in state.sends if at > cutoff]
@@ -315,6 +319,6 @@
     return bool(set(one.services) & set(other.services))
 
 
-def excluding(wanted: Selection, names: Sequence[str]) -> Selection:
+def excluding(wanted: UpstreamRequirements, names: Sequence[str]) -> UpstreamRequirements:
     """Return the selection without some upstreams."""
     return replace(wanted, exclude=wanted.exclude | frozenset(names))
--- a/src/swifttrestle/internal/state/usage.py
+++ b/src/swifttrestle/internal/state/usage.py
@@ -73,7 +73,7 @@
                 total.update(counts)
         return dict(total)
 
-    def sum_with(self, window: int, draft: UsageDraft | None) -> Counts:
+    def sum_with_draft(self, window: int, draft: UsageDraft | None) -> Counts:
         """Return a window's counts with what a draft says of hosts that died since.
 
         A host that still tells its counts has told at least what the draft holds of it; where
--- a/src/swifttrestle/internal/transport/caller.py
+++ b/src/swifttrestle/internal/transport/caller.py
@@ -34,7 +34,7 @@
 PIPELINE_DEPTH = 1
 
 
-class Reply(ABC):
+class ResponseWriter(ABC):
     """Where a handler writes its answer."""
 
     started: bool = False
@@ -75,7 +75,7 @@
     """Answers requests."""
 
     @abstractmethod
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one request; cancelled where the caller leaves."""
 
     @abstractmethod
@@ -102,7 +102,7 @@
         return sum(1 for connection in self.open if connection.busy)
 
 
-class CallerConnection(asyncio.Protocol, Reply):
+class CallerConnection(asyncio.Protocol, ResponseWriter):
     """One connection of a caller."""
 
     def __init__(self, handler: RequestHandler, connections: ConnectionSet) -> None:
--- a/src/swifttrestle/internal/transport/datagrams.py
+++ b/src/swifttrestle/internal/transport/datagrams.py
@@ -18,7 +18,7 @@
     LISTING = 3
     ROSTER = 4
     CRASHES = 5
-    BELIEF = 6
+    FRESHNESS = 6
     USAGE = 7
     PERMIT = 8
 
--- a/src/swifttrestle/internal/transport/http.py
+++ b/src/swifttrestle/internal/transport/http.py
@@ -78,7 +78,7 @@
         """Send a JSON answer."""
         self.reply(status, orjson.dumps(value, default=str), JSON, headers)
 
-    def hand_over(self) -> socket.socket:
+    def detach_socket(self) -> socket.socket:
         """Take the caller's socket from the server; whoever gets it sends the answer.
 
         The server's own socket object is left without a descriptor, and `linger` tells the
@@ -105,7 +105,7 @@
 
     @abstractmethod
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request, by `reply` or by `hand_over`."""
+        """Answer one request, by `reply` or by `detach_socket`."""
 
 
 class _Gateway(Gateway):
--- a/src/swifttrestle/internal/transport/messages.py
+++ b/src/swifttrestle/internal/transport/messages.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerHead:
+class ResponseHead:
     """The head of an upstream's answer."""
 
     status: int
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -10,7 +10,7 @@
 
 from swifttrestle.errors import UpstreamUnreachedError
 from swifttrestle.internal.callbacks import ignore
-from swifttrestle.internal.transport.messages import AnswerHead
+from swifttrestle.internal.transport.messages import ResponseHead
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest, UpstreamConnection
 
 # Seconds to connect. A host in the same region answers in milliseconds; one lost opening
@@ -34,17 +34,17 @@
 
 
 @dataclass(frozen=True)
-class Patience:
+class CallTimeouts:
     """How long a call may take: seconds to its answer's head, and between bytes of its body.
 
     None is no bound: for callers that bound the whole call themselves.
     """
 
     head: float | None = None
-    byte: float | None = None
+    between_bytes: float | None = None
 
 
-UNBOUNDED = Patience()
+UNBOUNDED = CallTimeouts()
 
 
 class ConnectionPool:
@@ -59,11 +59,11 @@
         self.opened = 0
         # Called with the instance, the head of each of its answers and the loop's time at which
         # the request was sent, before anybody else gets the answer.
-        self.on_answer: Callable[[str, AnswerHead, float], None] = ignore
+        self.on_answer: Callable[[str, ResponseHead, float], None] = ignore
 
     @contextlib.asynccontextmanager
-    async def borrow(self, instance: str, address: Address) -> AsyncIterator[UpstreamConnection]:
-        """Lend a connection; it is kept only where `give_back` says so before the end."""
+    async def acquire(self, instance: str, address: Address) -> AsyncIterator[UpstreamConnection]:
+        """Lend a connection; it is kept only where `mark_reusable` says so before the end."""
         connection = self._take_idle(instance) or await self._connect(address)
         self._lent[instance].add(connection)
         connection.on_head = functools.partial(self.on_answer, instance)
@@ -81,7 +81,7 @@
             else:
                 connection.close()
 
-    async def give_back(self, connection: UpstreamConnection, head: AnswerHead) -> None:
+    async def mark_reusable(self, connection: UpstreamConnection, head: ResponseHead) -> None:
         """Mark a connection whose answer has been read whole for reuse."""
         if not await connection.finish(patience=0.0 if head.closes else 0.5):
             connection.close()
@@ -96,7 +96,7 @@
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
-    def break_off(self, instance: str) -> None:
+    def abort_all(self, instance: str) -> None:
         """Break all connections to an instance that has ended: no answer comes there any more."""
         self.forget(instance)
         for connection in list(self._lent.get(instance, ())):
@@ -170,15 +170,15 @@
     address: Address,
     request: OutgoingRequest,
     limit: int,
-    patience: Patience = UNBOUNDED,
-) -> tuple[AnswerHead, bytes]:
+    timeouts: CallTimeouts = UNBOUNDED,
+) -> tuple[ResponseHead, bytes]:
     """Send one request and return the whole answer.
 
-    Raises UpstreamBrokenError, and TimeoutError where no head comes within `patience`.
+    Raises UpstreamBrokenError, and TimeoutError where no head comes within `timeouts`.
     """
-    async with pool.borrow(instance, address) as connection:
-        async with asyncio.timeout(patience.head):
+    async with pool.acquire(instance, address) as connection:
+        async with asyncio.timeout(timeouts.head):
             head, body = await connection.exchange(request)
-        content = await body.read_whole(limit, patience.byte)
-        await pool.give_back(connection, head)
+        content = await body.read_whole(limit, timeouts.between_bytes)
+        await pool.mark_reusable(connection, head)
     return head, content
--- a/src/swifttrestle/internal/transport/pump.py
+++ b/src/swifttrestle/internal/transport/pump.py
@@ -23,14 +23,14 @@
 SWEEP_SECONDS = 0.25
 
 
-class Want(Enum):
+class WaitFor(Enum):
     """What a task waits for."""
 
     DATA = "upstream data"
-    ROOM = "room towards the caller"
+    WRITABLE = "room towards the caller"
 
 
-Task = Generator[Want, None, None]
+Task = Generator[WaitFor, None, None]
 Finish = Callable[[BaseException | None], None]
 
 
@@ -43,7 +43,7 @@
     task: Task
     finish: Finish
     stall_seconds: float
-    want: Want = Want.DATA
+    want: WaitFor = WaitFor.DATA
     moved_at: float = field(default_factory=read_seconds)
     done: bool = False
 
@@ -116,7 +116,7 @@
         if sock is line.caller and mask & selectors.EVENT_READ and _is_closed(line.caller):
             self._throw(line, CallerGoneError("the caller closed its connection"))
             return
-        ready = sock is line.upstream if line.want is Want.DATA else mask & selectors.EVENT_WRITE
+        ready = sock is line.upstream if line.want is WaitFor.DATA else mask & selectors.EVENT_WRITE
         if ready:
             line.moved_at = now
             self._step(line)
@@ -133,9 +133,9 @@
         if want is not line.want:
             self._change_want(line, want)
 
-    def _change_want(self, line: _Line, want: Want) -> None:
+    def _change_want(self, line: _Line, want: WaitFor) -> None:
         line.want = want
-        if want is Want.ROOM:
+        if want is WaitFor.WRITABLE:
             # Reading from the engine waits until the caller has taken what there is.
             self._selector.unregister(line.upstream)
             self._selector.modify(line.caller, selectors.EVENT_READ | selectors.EVENT_WRITE, line)
@@ -147,7 +147,7 @@
         for line in list(self._lines):
             if now - line.moved_at < line.stall_seconds:
                 continue
-            if line.want is Want.ROOM:
+            if line.want is WaitFor.WRITABLE:
                 self._throw(line, CallerGoneError("the caller takes nothing"))
             else:
                 self._throw(line, UpstreamBrokenError("no token for too long", sent=True))
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -10,10 +10,10 @@
 from swifttrestle.internal.callbacks import ignore
 from swifttrestle.internal.transport.messages import (
     LAST_CHUNK,
-    AnswerHead,
     Body,
     Framing,
     Header,
+    ResponseHead,
     find_header,
     write_chunk,
     write_request_head,
@@ -45,8 +45,8 @@
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[Header] = []
-        self._head: asyncio.Future[AnswerHead] | None = None
-        self._answer: AnswerHead | None = None
+        self._head: asyncio.Future[ResponseHead] | None = None
+        self._answer: ResponseHead | None = None
         self._body: Body | None = None
         self._sender: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
@@ -61,7 +61,7 @@
         self.reusable = True
         self.idle_until = 0.0
         # Called with the head of each answer and the loop's time at which its request was sent.
-        self.on_head: Callable[[AnswerHead, float], None] = ignore
+        self.on_head: Callable[[ResponseHead, float], None] = ignore
 
     # Called by the event loop.
 
@@ -153,7 +153,7 @@
         alive = self._transport is not None and not self._transport.is_closing()
         return alive and self.reusable and self._broken is None
 
-    async def exchange(self, request: OutgoingRequest) -> tuple[AnswerHead, Body]:
+    async def exchange(self, request: OutgoingRequest) -> tuple[ResponseHead, Body]:
         """Send a request; return the answer's head, and its body as it arrives.
 
         Raises UpstreamBrokenError, whose `sent` says whether a byte may have gone out.
@@ -232,7 +232,7 @@
         if self._body is not None:
             self._body.end()
 
-    def _build_head(self, status: int) -> AnswerHead:
+    def _build_head(self, status: int) -> ResponseHead:
         headers = tuple(self._headers)
         framing, length = self._find_framing(status, headers)
         connection = find_header(headers, b"connection").lower()
@@ -240,7 +240,7 @@
         closes = closes or not self._parser.should_keep_alive()
         if closes:
             self.reusable = False
-        return AnswerHead(status, headers, framing, length, closes, _read_keep_time(headers))
+        return ResponseHead(status, headers, framing, length, closes, _read_keep_time(headers))
 
     def _find_framing(self, status: int, headers: Sequence[Header]) -> tuple[Framing, int]:
         if status in (204, 304) or self._method == b"HEAD":
--- a/src/swifttrestle/platform/backpressure.py
+++ b/src/swifttrestle/platform/backpressure.py
@@ -3,7 +3,7 @@
 import re
 from collections.abc import Callable, Sequence
 
-from swifttrestle.internal.state.backpressure import SILENT, Backpressure
+from swifttrestle.internal.state.backpressure import NO_BACKPRESSURE, Backpressure
 from swifttrestle.platform.wire import Header
 
 LEAVING = b"server-leaving"
@@ -24,7 +24,7 @@
     """
     found = [(name.lower(), value) for name, value in headers if name.lower() in _READERS]
     if not found:
-        return SILENT
+        return NO_BACKPRESSURE
     turned_away = status in _TURNED_AWAY
     words = [
         (name, value, _READERS[name](value)) for name, value in found if name != REST or turned_away
@@ -35,7 +35,7 @@
         rate=min(
             (read for name, _, read in words if name == RATE and read is not None), default=None
         ),
-        odd=tuple(_show(name, value) for name, value, read in words if read is None),
+        unreadable=tuple(_show(name, value) for name, value, read in words if read is None),
     )
 
 
--- a/src/swifttrestle/platform/store.py
+++ b/src/swifttrestle/platform/store.py
@@ -23,8 +23,8 @@
     UpstreamBrokenError,
 )
 from swifttrestle.internal.state.store_epochs import StoreEpochs, StoreRevision
-from swifttrestle.internal.transport.messages import AnswerHead, Body, Framing, find_header
-from swifttrestle.internal.transport.pool import ConnectionPool, Patience, call_once
+from swifttrestle.internal.transport.messages import Body, Framing, ResponseHead, find_header
+from swifttrestle.internal.transport.pool import CallTimeouts, ConnectionPool, call_once
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest
 from swifttrestle.platform.objects import (
     Changes,
@@ -148,10 +148,10 @@
     ) -> Any:
         self.calls += 1
         request = self._build(method, path, body)
-        patience = Patience(seconds, BYTE_SECONDS)
+        timeouts = CallTimeouts(seconds, BYTE_SECONDS)
         try:
             head, content = await call_once(
-                self._pool, POOL_NAME, self._address, request, LARGEST_ANSWER, patience
+                self._pool, POOL_NAME, self._address, request, LARGEST_ANSWER, timeouts
             )
         except (UpstreamBrokenError, TimeoutError) as error:
             raise PlatformUnavailableError(f"{method.decode()} {path}: {error!r}") from None
@@ -159,12 +159,12 @@
         check_status(head.status, path)
         return decode_answer(path, content)
 
-    def _note_epoch(self, head: AnswerHead) -> None:
+    def _note_epoch(self, head: ResponseHead) -> None:
         """Take over the epoch that an answer names; raise OldEpochError."""
         text = find_header(head.headers, EPOCH_HEADER)
         named = _read_epoch(text)
         if named is None and text:
-            self.epochs.note_odd(text.decode("latin-1"))
+            self.epochs.note_unreadable(text.decode("latin-1"))
         self.epochs.take(named, asyncio.get_running_loop().time())
 
     def _build(self, method: bytes, path: str, body: Any) -> OutgoingRequest:
--- a/src/swifttrestle_standins/engine.py
+++ b/src/swifttrestle_standins/engine.py
@@ -61,7 +61,7 @@
     def handle(self, exchange: Exchange) -> None:
         """Answer one call."""
         if self.batch.faults.broken:
-            exchange.hand_over().close()
+            exchange.detach_socket().close()
             return
         try:
             self._answer(exchange)
@@ -142,7 +142,7 @@
         stream = self._make_stream(body, offset, end)
         if imported and self._import(imported):
             stream.left = 1
-        stream.sock = exchange.hand_over()
+        stream.sock = exchange.detach_socket()
         stream.sock.settimeout(5)
         self.batch.add(stream)
 
@@ -204,7 +204,7 @@
 
     def _report(self, exchange: Exchange) -> None:
         if self.batch.faults.no_reports:
-            exchange.hand_over().close()
+            exchange.detach_socket().close()
             return
         with self._lock:
             due = time.monotonic() - self._report_lag
--- a/src/swifttrestle_standins/hosted/duties.py
+++ b/src/swifttrestle_standins/hosted/duties.py
@@ -10,7 +10,7 @@
 import orjson
 
 from swifttrestle.internal.state.declared import Limits
-from swifttrestle.internal.transport.caller import IncomingRequest, Reply, RequestHandler
+from swifttrestle.internal.transport.caller import IncomingRequest, RequestHandler, ResponseWriter
 from swifttrestle_standins.hosted.upstreams import StandInEngine, read_headers
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         """Return limits that no call here meets."""
         return Limits(header_seconds=60, idle_seconds=600)
 
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one call, or fail as told."""
         content = await request.body.read_whole(BODY_LIMIT)
         if self.faults.down:
--- a/src/swifttrestle_standins/hosted/store.py
+++ b/src/swifttrestle_standins/hosted/store.py
@@ -9,7 +9,7 @@
 import orjson
 
 from swifttrestle.internal.state.declared import Limits
-from swifttrestle.internal.transport.caller import IncomingRequest, Reply, RequestHandler
+from swifttrestle.internal.transport.caller import IncomingRequest, RequestHandler, ResponseWriter
 from swifttrestle.internal.transport.messages import Framing, Header
 from swifttrestle_standins.pieces import cut_pieces
 
@@ -157,7 +157,7 @@
 
     # The protocol.
 
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one call, or fail as told."""
         target = request.head.target.decode()
         self.calls.append(f"{request.head.method.decode()} {target}")
--- a/src/swifttrestle_standins/hosted/upstreams.py
+++ b/src/swifttrestle_standins/hosted/upstreams.py
@@ -10,7 +10,7 @@
 import orjson
 
 from swifttrestle.internal.state.declared import Limits
-from swifttrestle.internal.transport.caller import IncomingRequest, Reply, RequestHandler
+from swifttrestle.internal.transport.caller import IncomingRequest, RequestHandler, ResponseWriter
 from swifttrestle.internal.transport.messages import Framing, Header
 
 BODY_LIMIT = 4 * 1024 * 1024
@@ -36,10 +36,10 @@
         return self.steps.popleft() if self.steps else ""
 
 
-class _SpeakingReply(Reply):
+class _SpeakingReply(ResponseWriter):
     """Adds what an upstream says of itself to all of its answers."""
 
-    def __init__(self, reply: Reply, upstream: "StandInUpstream") -> None:
+    def __init__(self, reply: ResponseWriter, upstream: "StandInUpstream") -> None:
         """Write to `reply` for an upstream."""
         self._reply = reply
         self._upstream = upstream
@@ -132,7 +132,7 @@
         self.hold.set()
         self.script.steps.clear()
 
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Check the instance, then fail as told or run the request."""
         reply = _SpeakingReply(reply, self)
         headers = read_headers(request)
@@ -167,7 +167,12 @@
         return DEADLY
 
     async def run(
-        self, name: str, headers: dict[str, str], step: str, request: IncomingRequest, reply: Reply
+        self,
+        name: str,
+        headers: dict[str, str],
+        step: str,
+        request: IncomingRequest,
+        reply: ResponseWriter,
     ) -> None:
         """Run one request as a plain service does."""
         self.runs[name] += 1
@@ -227,7 +232,7 @@
             record["leaves_ms"] = self.leaves_ms
         return record
 
-    async def handle(self, request: IncomingRequest, reply: Reply) -> None:
+    async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer the calls of the system itself, or a request."""
         path = request.head.target.decode()
         if path == "/v1/report":
@@ -251,7 +256,12 @@
         return DEADLY_PROMPT if headers.get("x-stage") == "prefill" else DEADLY
 
     async def run(
-        self, name: str, headers: dict[str, str], step: str, request: IncomingRequest, reply: Reply
+        self,
+        name: str,
+        headers: dict[str, str],
+        step: str,
+        request: IncomingRequest,
+        reply: ResponseWriter,
     ) -> None:
         """Read a prompt, or stream an answer."""
         reading = headers.get("x-stage") == "prefill"
@@ -267,7 +277,7 @@
             return
         await self._stream(name, headers, step, reply)
 
-    async def _read(self, name: str, headers: dict[str, str], reply: Reply) -> None:
+    async def _read(self, name: str, headers: dict[str, str], reply: ResponseWriter) -> None:
         await self.hold.wait()
         await asyncio.sleep(self.seconds)
         handle = f"{self.instance}-h{next(self._numbers)}"
@@ -278,7 +288,9 @@
         head = [(b"X-Request-Id", name.encode())]
         await reply.send_whole(200, head, orjson.dumps(answer))
 
-    async def _stream(self, name: str, headers: dict[str, str], step: str, reply: Reply) -> None:
+    async def _stream(
+        self, name: str, headers: dict[str, str], step: str, reply: ResponseWriter
+    ) -> None:
         self.runs[name] += 1
         await self.hold.wait()
         if step == "silent":
@@ -299,12 +311,12 @@
             await reply.send(make_event(name, number))
         await reply.end()
 
-    async def _report(self, reply: Reply) -> None:
+    async def _report(self, reply: ResponseWriter) -> None:
         report = {"phase": self.role, "busy": False, "seq": len(self.orders), "queued": 0,
                   "running": 0, **self.tell_born()}  # fmt: skip
         await reply.send_whole(200, (), orjson.dumps(report))
 
-    async def _order(self, request: IncomingRequest, reply: Reply) -> None:
+    async def _order(self, request: IncomingRequest, reply: ResponseWriter) -> None:
         order = orjson.loads(await request.body.read_whole(BODY_LIMIT))
         self.arrived_orders.append(order)
         if not self.apply_orders:
--- a/src/swifttrestle_standins/platform.py
+++ b/src/swifttrestle_standins/platform.py
@@ -181,7 +181,7 @@
     def _reply_write(self, exchange: Exchange, stored: dict[str, Any] | None) -> None:
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            exchange.hand_over().close()
+            exchange.detach_socket().close()
             return
         if stored is None:
             exchange.reply_json(409, {"message": "another version"})
@@ -195,7 +195,7 @@
             exchange.reply_json(410, {"message": "too long ago"})
             return
         kinds = set(exchange.query.get("kinds", "").split(","))
-        sock = exchange.hand_over()
+        sock = exchange.detach_socket()
         threading.Thread(
             target=self._send_events, args=(sock, client, kinds, since), daemon=True
         ).start()
--- a/src/swifttrestle_standins/service.py
+++ b/src/swifttrestle_standins/service.py
@@ -39,7 +39,7 @@
             exchange.reply_json(503, {"reason": "busy"}, (("Retry-After", "1"),))
             return
         if self.faults.drop == "before":
-            exchange.hand_over().close()
+            exchange.detach_socket().close()
             return
         body = exchange.read_body()
         with self.lock:
@@ -51,11 +51,11 @@
 
     def _answer(self, exchange: Exchange, body: bytes) -> None:
         if self.faults.drop == "after":
-            exchange.hand_over().close()
+            exchange.detach_socket().close()
             return
         answer = b'{"echo":' + (body or b"null") + b',"path":"%s"}' % exchange.path.encode()
         if self.faults.drop == "mid":
-            with exchange.hand_over() as sock:
+            with exchange.detach_socket() as sock:
                 half = answer[: len(answer) // 2]
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + half)
             return
--- a/tests/common/weakened.py
+++ b/tests/common/weakened.py
@@ -88,5 +88,5 @@
 
 def entry_that_asks_no_peer():
     """Learns configuration from the platform alone."""
-    ConfigStore.find_behind = lambda self, epochs: ()
+    ConfigStore.find_outdated = lambda self, epochs: ()
     entry.main()
--- a/tests/cover/test_backpressure.py
+++ b/tests/cover/test_backpressure.py
@@ -8,16 +8,16 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.protocol.permits import (
-    Answer,
-    Ask,
-    AskTrial,
-    Leaving,
-    Tell,
+    LeavingUpdate,
+    PermitReply,
+    PermitRequest,
+    RateLimitUpdate,
+    TrialRequest,
     pack_message,
     unpack_message,
 )
 from swifttrestle.internal.state.backpressure import Backpressure
-from swifttrestle.internal.state.upstream_conditions import RateWord
+from swifttrestle.internal.state.upstream_conditions import RateLimit
 from swifttrestle.platform.backpressure import read_backpressure
 
 LIMIT, LEAVING, REST = b"Server-Limit", b"server-leaving", b"Retry-After"
@@ -33,28 +33,32 @@
         (503, [(b"SERVER-LIMIT", b"0")], Backpressure(rate=0.0)),
         (200, [(LIMIT, b"1e300")], Backpressure(rate=1e300)),
         (200, [(LIMIT, b"9.7"), (LIMIT, b"4.1")], Backpressure(rate=4.1)),
-        (200, [(LIMIT, b"x"), (LIMIT, b"4.1")], Backpressure(rate=4.1, odd=("server-limit: x",))),
-        (200, [(LIMIT, b"")], Backpressure(odd=("server-limit: ",))),
-        (200, [(LIMIT, b"-1")], Backpressure(odd=("server-limit: -1",))),
-        (200, [(LIMIT, b"nan")], Backpressure(odd=("server-limit: nan",))),
-        (200, [(LIMIT, b"inf")], Backpressure(odd=("server-limit: inf",))),
-        (200, [(LIMIT, b"1e999")], Backpressure(odd=("server-limit: 1e999",))),
-        (200, [(LIMIT, b"1_0")], Backpressure(odd=("server-limit: 1_0",))),
+        (
+            200,
+            [(LIMIT, b"x"), (LIMIT, b"4.1")],
+            Backpressure(rate=4.1, unreadable=("server-limit: x",)),
+        ),
+        (200, [(LIMIT, b"")], Backpressure(unreadable=("server-limit: ",))),
+        (200, [(LIMIT, b"-1")], Backpressure(unreadable=("server-limit: -1",))),
+        (200, [(LIMIT, b"nan")], Backpressure(unreadable=("server-limit: nan",))),
+        (200, [(LIMIT, b"inf")], Backpressure(unreadable=("server-limit: inf",))),
+        (200, [(LIMIT, b"1e999")], Backpressure(unreadable=("server-limit: 1e999",))),
+        (200, [(LIMIT, b"1_0")], Backpressure(unreadable=("server-limit: 1_0",))),
         (200, [(LEAVING, b"1")], Backpressure(leaving=True)),
         (200, [(LEAVING, b"0")], Backpressure()),
         (200, [(LEAVING, b"0"), (LEAVING, b"1")], Backpressure(leaving=True)),
-        (200, [(LEAVING, b"yes")], Backpressure(odd=("server-leaving: yes",))),
+        (200, [(LEAVING, b"yes")], Backpressure(unreadable=("server-leaving: yes",))),
         (503, [(REST, b"3")], Backpressure(rest=3.0)),
         (429, [(REST, b"0.25")], Backpressure(rest=0.25)),
         (503, [(REST, b"1"), (REST, b"3")], Backpressure(rest=3.0)),
         (503, [(REST, b"0")], Backpressure()),
         (200, [(REST, b"3")], Backpressure()),
         (200, [(REST, b"soon")], Backpressure()),
-        (503, [(REST, b"-3")], Backpressure(rest=None, odd=("retry-after: -3",))),
+        (503, [(REST, b"-3")], Backpressure(rest=None, unreadable=("retry-after: -3",))),
         (
             503,
             [(REST, b"Thu, 03 Dec 2026 06:00:00 GMT")],
-            Backpressure(rest=None, odd=("retry-after: Thu, 03 Dec 2026 06:00:00 GMT",)),
+            Backpressure(rest=None, unreadable=("retry-after: Thu, 03 Dec 2026 06:00:00 GMT",)),
         ),
     ],
 )
@@ -75,13 +79,13 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Ask(7, "e1@5", True, RateWord()),
-        Ask(7, "e1", False, RateWord(4.5, 99.0)),
-        Answer(7, "e1", 0.0, RateWord(None, 98.5)),
-        Answer(7, "e1", 0.25, RateWord(4.5, 99.0)),
-        Tell("e1", RateWord(0.0, 100.0), spread=True),
-        Leaving("e1", spread=True),
-        AskTrial(7, "00aa-11bb"),
+        PermitRequest(7, "e1@5", True, RateLimit()),
+        PermitRequest(7, "e1", False, RateLimit(4.5, 99.0)),
+        PermitReply(7, "e1", 0.0, RateLimit(None, 98.5)),
+        PermitReply(7, "e1", 0.25, RateLimit(4.5, 99.0)),
+        RateLimitUpdate("e1", RateLimit(0.0, 100.0), relay=True),
+        LeavingUpdate("e1", relay=True),
+        TrialRequest(7, "00aa-11bb"),
     ],
 )
 def test_messages_on_limits_pass_between_hosts(message):
--- a/tests/cover/test_bookings.py
+++ b/tests/cover/test_bookings.py
@@ -20,7 +20,7 @@
     is_large_fleet,
 )
 from swifttrestle.internal.protocol.bookings import (
-    Ask,
+    BookingQuery,
     End,
     Grant,
     Refuse,
@@ -28,7 +28,7 @@
     pack_message,
     unpack_message,
 )
-from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom, Outcome, Stage
+from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity, Outcome, Stage
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet, Instance
 from swifttrestle.internal.state.members import Member
@@ -113,7 +113,7 @@
     async def act(_, members, scheduler, other, third):
         booking = await other.booker.book(REQUEST)
         assert (booking.reader.name, booking.decoder.name) == ("p", "d")
-        assert booking.ticket.host == find_scheduler(members, "s", "").host
+        assert booking.reference.host == find_scheduler(members, "s", "").host
         assert scheduler.open_work() == 2
         assert other.open_work() == third.open_work() == 0
         end_all(other, booking)
@@ -128,10 +128,10 @@
         asked = [host.booker.book(REQUEST) for host in others for _ in range(5)]
         found = await asyncio.gather(*asked)
         reader = scheduler.parts.fleet.instances["p"]
-        own = REQUEST.tokens / reader.pace
+        own = REQUEST.tokens / reader.effective_read_rate
         assert 0 < reader.predict_wait() <= REQUEST.longest_read_wait + own
         assert sum(isinstance(item, Booking) for item in found) == 2
-        refused = [item.waiting for item in found if isinstance(item, NoRoom)]
+        refused = [item.waiting for item in found if isinstance(item, NoCapacity)]
         assert sorted(refused) == [0] + [1] * 7
 
     run_hosts(act, monkeypatch)
@@ -172,7 +172,7 @@
         network.lose = lambda message: isinstance(message, Grant)
         for _ in range(scheduled_booking.SILENCES_TO_PAUSE):
             booking = await other.booker.book(REQUEST)
-            assert booking.ticket is None
+            assert booking.reference is None
             await settle()
             # What the scheduler had booked for the lost answer was given back.
             assert scheduler.open_work() == 0
@@ -191,7 +191,7 @@
         end_all(other, await other.booker.book(REQUEST))
         network.lose = lambda message: False
         monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", 30.0)
-        assert (await other.booker.book(REQUEST)).ticket is not None
+        assert (await other.booker.book(REQUEST)).reference is not None
 
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
@@ -235,7 +235,7 @@
         held = await other.booker.book(REQUEST)
         again = Host(network, other.booker._host, members, TWO_ENGINES, seed=2)
         booking = await again.booker.book(REQUEST)
-        assert booking.ticket not in (None, held.ticket)
+        assert booking.reference not in (None, held.reference)
 
     run_hosts(act, monkeypatch)
 
@@ -280,7 +280,7 @@
             found = await other.booker.book(REQUEST)
             if isinstance(found, Booking):
                 assert not found.decoder.record.leaving
-        assert isinstance(found, NoRoom)
+        assert isinstance(found, NoCapacity)
         await settle()
         # What was granted and not used was given back.
         assert scheduler.open_work() <= 2
@@ -298,7 +298,7 @@
             return False
 
         network.lose = leave
-        assert isinstance(await other.booker.book(REQUEST), NoRoom)
+        assert isinstance(await other.booker.book(REQUEST), NoCapacity)
         await settle()
         assert scheduler.open_work() == 0
 
@@ -313,7 +313,7 @@
         short = BookingRequest("s", "a", 100, "part", 1, False, 20.0, 1.0, 3.5)
         assert (await third.booker.book(short)).direct
         assert not waiting.done()
-        assert isinstance(await waiting, NoRoom)
+        assert isinstance(await waiting, NoCapacity)
         assert len(held) == 2
 
     run_hosts(act, monkeypatch)
@@ -353,7 +353,9 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Ask(1, BookingRequest("s", "a", 9, "p", 0, True, 1.5, 0.1, 0.2, True, frozenset({"e"}))),
+        BookingQuery(
+            1, BookingRequest("s", "a", 9, "p", 0, True, 1.5, 0.1, 0.2, True, frozenset({"e"}))
+        ),
         Wait(2),
         Grant(3, "p", "d", 9000, 0.25),
         Grant(3, "p", "d", 9000, 0.25, 700, "e", 0.008),
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -21,15 +21,15 @@
     estimate_need,
 )
 from swifttrestle.internal.protocol.listings import (
-    LARGEST_CONTENT,
-    LARGEST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
+    MAX_DECOMPRESSED_BYTES,
     ListingChanges,
     pack_changes,
     unpack_changes,
 )
 from swifttrestle.internal.state.declared import Role, Scaling, UpstreamRecord
 from swifttrestle.internal.state.demand import Demand
-from swifttrestle.internal.state.fleet import UNKNOWN_READ_RATE, Instance
+from swifttrestle.internal.state.fleet import DEFAULT_READ_RATE, Instance
 from swifttrestle.internal.state.store_epochs import StoreRevision
 from swifttrestle.platform.records import read_configuration, read_upstream
 
@@ -151,7 +151,7 @@
         (300_000.0, Demand(2_550_000.0, 68.0), 10 + 5),
         (300_000.0, Demand(1000.0, 1.0), 1 + 2),
         # Nothing has been read yet: what stands is the better estimate.
-        (UNKNOWN_READ_RATE, Demand(2_550_000.0, 68.0), 0),
+        (DEFAULT_READ_RATE, Demand(2_550_000.0, 68.0), 0),
     ],
 )
 def test_the_need_follows_from_offered_work_and_learned_paces(rate, demand, wanted):
@@ -159,7 +159,7 @@
 
 
 def test_an_engine_that_has_just_come_does_not_raise_the_need():
-    engines = make_engines(300_000.0) + make_engines(UNKNOWN_READ_RATE)
+    engines = make_engines(300_000.0) + make_engines(DEFAULT_READ_RATE)
     assert estimate_need(engines, Demand(2_550_000.0, 13.6)) == 12
 
 
@@ -294,14 +294,14 @@
     )  # fmt: skip
     changes = ListingChanges(StoreRevision(0, 1), StoreRevision(0, 2), 0.0, records, ("i-1", "i-2"))
     data = pack_changes(changes)
-    assert len(data) <= LARGEST_DATAGRAM
+    assert len(data) <= MAX_DATAGRAM_BYTES
     assert unpack_changes(data) == changes
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        zlib.compress(b"x" * (LARGEST_CONTENT + 1)),
+        zlib.compress(b"x" * (MAX_DECOMPRESSED_BYTES + 1)),
         zlib.compress(b"\x90")[:-3],
         zlib.compress(b"no list"),
         b"\x78",
--- a/tests/cover/test_conditions.py
+++ b/tests/cover/test_conditions.py
@@ -11,8 +11,8 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
-from swifttrestle.internal.state.upstream_conditions import TRIAL_SECONDS, RateWord
-from swifttrestle.internal.transport.messages import AnswerHead, Framing
+from swifttrestle.internal.state.upstream_conditions import TRIAL_SECONDS, RateLimit
+from swifttrestle.internal.transport.messages import Framing, ResponseHead
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
 ID = (b"X-Request-Id", b"r1")
@@ -27,7 +27,7 @@
 
 
 def answer(status=200, *headers):
-    return AnswerHead(status, headers, Framing.LENGTH)
+    return ResponseHead(status, headers, Framing.LENGTH)
 
 
 def now():
@@ -47,29 +47,29 @@
     conditions = make_parts().conditions
     await asyncio.sleep(1.0)
     conditions.record_answer("s0", answer(200, ID, LIMIT), 0.9)
-    assert conditions.find_rate_limit("s0") == RateWord(4.0, 1.0)
+    assert conditions.find_rate_limit("s0") == RateLimit(4.0, 1.0)
     await asyncio.sleep(1.0)
     conditions.record_answer("s0", answer(200, ID), 0.95)
     conditions.record_answer("s0", answer(200), 1.5)
     assert conditions.find_rate_limit("s0").rate == 4.0
     conditions.record_answer("s0", answer(200, ID), 1.5)
-    assert conditions.find_rate_limit("s0") == RateWord(None, 2.0)
+    assert conditions.find_rate_limit("s0") == RateLimit(None, 2.0)
 
 
 @in_virtual_time
 async def test_the_newest_word_counts_whoever_heard_it():
     conditions = make_parts().conditions
-    assert conditions.apply_rate_limit("s0", RateWord(4.0, 5.0), "peer")
-    assert not conditions.apply_rate_limit("s0", RateWord(None, 4.0), "peer")
-    assert not conditions.apply_rate_limit("s0", RateWord(4.1, 6.0), "peer")
-    assert conditions.apply_rate_limit("s0", RateWord(None, 7.0), "peer")
+    assert conditions.apply_rate_limit("s0", RateLimit(4.0, 5.0), "peer")
+    assert not conditions.apply_rate_limit("s0", RateLimit(None, 4.0), "peer")
+    assert not conditions.apply_rate_limit("s0", RateLimit(4.1, 6.0), "peer")
+    assert conditions.apply_rate_limit("s0", RateLimit(None, 7.0), "peer")
     assert conditions.find_rate_limit("s0").rate is None
 
 
 @in_virtual_time
 async def test_others_are_told_of_what_differs_and_not_of_each_answer():
     conditions, told = make_parts().conditions, []
-    conditions.announce_limit = lambda start, word: told.append(word.rate)
+    conditions.announce_limit = lambda start, rate_limit: told.append(rate_limit.rate)
     for rate in (b"4", b"4", b"4.2", b"9"):
         conditions.record_answer("s0", answer(200, ID, (b"Server-Limit", rate)), now())
         await asyncio.sleep(0.1)
@@ -94,7 +94,7 @@
         parts = make_parts()
         instance = parts.fleet.instances["s0"]
         parts.conditions.record_answer("s0", answer(503, (b"Retry-After", asked)), now())
-        assert parts.conditions.find_hold(instance, now(), urgent=True) == seconds
+        assert parts.conditions.find_wait_seconds(instance, now(), urgent=True) == seconds
         assert [item.name for item in parts.list_usable("alerts", now())] == ["s1"]
         with pytest.raises(UpstreamHeldError):
             parts.conditions.check(instance, urgent=True, permitted=True)
@@ -114,7 +114,7 @@
         )
     assert parts.conditions.find_rate_limit("s0").rate == 4.0
     assert parts.metrics.total("upstream_odd_words_total") == 3
-    assert parts.conditions._conditions["s0"].odd == ("server-limit: few",)
+    assert parts.conditions._conditions["s0"].unreadable == ("server-limit: few",)
 
 
 @in_virtual_time
@@ -122,7 +122,9 @@
     parts = make_parts()
     parts.conditions.record_answer("s0", answer(503, (b"Retry-After", b"3")), now())
     parts.conditions.record_answer("s0", answer(503, (b"Retry-After", b"1")), now())
-    assert parts.conditions.find_hold(parts.fleet.instances["s0"], now(), urgent=True) == 3.0
+    assert (
+        parts.conditions.find_wait_seconds(parts.fleet.instances["s0"], now(), urgent=True) == 3.0
+    )
 
 
 @in_virtual_time
@@ -134,10 +136,12 @@
     await asyncio.sleep(1.1)
     parts.conditions.note_sent(instance)
     sent_at = now()
-    assert parts.conditions.find_hold(instance, now(), urgent=True) == pytest.approx(TRIAL_SECONDS)
+    assert parts.conditions.find_wait_seconds(instance, now(), urgent=True) == pytest.approx(
+        TRIAL_SECONDS
+    )
     await asyncio.sleep(0.1)
     parts.conditions.record_answer("s0", answer(200, ID), sent_at)
-    assert parts.conditions.find_hold(instance, now(), urgent=True) == 0.0
+    assert parts.conditions.find_wait_seconds(instance, now(), urgent=True) == 0.0
     assert woken == pytest.approx([1.0, 1.2])
 
 
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -17,7 +17,13 @@
 from swifttrestle.internal.policy.queueing import AdmissionQueue
 from swifttrestle.internal.policy.retry_window import WindowedRetryBudget
 from swifttrestle.internal.policy.role_split import count_decoders, find_best_count, plan_change
-from swifttrestle.internal.state.declared import Configuration, Repeat, Role, Route, UpstreamRecord
+from swifttrestle.internal.state.declared import (
+    Configuration,
+    RetrySafety,
+    Role,
+    Route,
+    UpstreamRecord,
+)
 from swifttrestle.internal.state.demand import Demand, DemandMeter
 from swifttrestle.internal.state.fleet import Fleet, Instance, OpenWork
 from swifttrestle.internal.state.routes import RouteTable
@@ -152,9 +158,9 @@
 def test_an_engines_speed_is_learned_from_what_it_read():
     engine = make_instance("p", Role.PREFILL)
     for _ in range(60):
-        engine.learn(9000, 0.03)
+        engine.update_read_rate(9000, 0.03)
     assert engine.read_rate == pytest.approx(300_000, rel=0.05)
-    engine.learn(10, 1.0)
+    engine.update_read_rate(10, 1.0)
     assert engine.read_rate == pytest.approx(300_000, rel=0.05)
 
 
@@ -217,7 +223,7 @@
 def make_route(prefix, host="h", priority=0):
     from swifttrestle.internal.state.declared import Target
 
-    return Route(prefix, host, prefix, Repeat.IDEMPOTENT, False, False, 1, 1, 0, priority, 1,
+    return Route(prefix, host, prefix, RetrySafety.IDEMPOTENT, False, False, 1, 1, 0, priority, 1,
                  (Target("s", 1.0),))  # fmt: skip
 
 
--- a/tests/cover/test_homes.py
+++ b/tests/cover/test_homes.py
@@ -25,7 +25,7 @@
     rank_zones,
 )
 from swifttrestle.internal.policy.scheduling import find_scheduler
-from swifttrestle.internal.protocol.bookings import Ask
+from swifttrestle.internal.protocol.bookings import BookingQuery
 from swifttrestle.internal.state.bookings import Booking, BookingRequest
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet, Instance
@@ -123,7 +123,7 @@
         for number in range(30):
             booking = await hosts[0].book(f"part{number}", longest_wait=0.0)
             if isinstance(booking, Booking):
-                homes.add(booking.ticket.host[0] if booking.ticket else hosts[0].member.zone)
+                homes.add(booking.reference.host[0] if booking.reference else hosts[0].member.zone)
         assert homes == {"a", "b"}
 
     run_hosts(act, monkeypatch)
@@ -177,7 +177,9 @@
             assert isinstance(booking, Booking)
             assert booking.reader.record.zone == booking.decoder.record.zone == home
             own = host.member == scheduler
-            assert (booking.ticket is None) if own else (booking.ticket.host == scheduler.host)
+            assert (
+                (booking.reference is None) if own else (booking.reference.host == scheduler.host)
+            )
 
     run_hosts(act, monkeypatch)
 
@@ -203,7 +205,7 @@
         host = next(h for h in hosts if h.member.zone not in (first, second))
         booking = await host.book("part")
         assert booking.reader.record.zone == second
-        assert booking.ticket.host == find_scheduler(members, "s", second).host
+        assert booking.reference.host == find_scheduler(members, "s", second).host
 
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
@@ -215,10 +217,10 @@
             network.receivers.pop(find_scheduler(members, "s", zone).ip)
         host = next(h for h in hosts if h.member.zone not in (first, second))
         booking = await host.book("part", longest_wait=0.0)
-        assert booking.ticket is None
+        assert booking.reference is None
         assert booking.reader.record.zone == host.member.zone
         await settle()
-        asked = [message for message in network.sent if isinstance(message, Ask)]
+        asked = [message for message in network.sent if isinstance(message, BookingQuery)]
         assert len(asked) == 2
         assert asked[1].request.left < asked[0].request.left
 
--- a/tests/cover/test_other_writers.py
+++ b/tests/cover/test_other_writers.py
@@ -15,7 +15,12 @@
     UpstreamBrokenError,
 )
 from swifttrestle.internal.coordination.entries import SkippedEntries, UpstreamEntries
-from swifttrestle.internal.protocol.bookings import Ask, Grant, pack_message, unpack_message
+from swifttrestle.internal.protocol.bookings import (
+    BookingQuery,
+    Grant,
+    pack_message,
+    unpack_message,
+)
 from swifttrestle.internal.protocol.copies import unpack_copy
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
 from swifttrestle.internal.protocol.listings import ListingChanges, pack_changes, unpack_changes
@@ -191,7 +196,7 @@
 
 
 REPORT = PeerReport("h", "10.0.0.1", "a", 10.0, 1, 2, False, False, False, 1.0, {}, {}, {})
-ASK = Ask(1, BookingRequest("s", "a", 10, "p", 0, True, 1.0, 0.1, 0.1))
+ASK = BookingQuery(1, BookingRequest("s", "a", 10, "p", 0, True, 1.0, 0.1, 0.1))
 
 
 def spoil(data):
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -13,11 +13,11 @@
 from swifttrestle.internal.policy.scheduling import list_representatives
 from swifttrestle.internal.protocol.rosters import (
     ENTRIES_PER_PART,
-    Mark,
-    Part,
     Roster,
-    Summary,
-    Wanted,
+    RosterConfirmation,
+    RosterPart,
+    RosterRequest,
+    RosterSummary,
     pack_roster_message,
     split_roster,
     unpack_roster_message,
@@ -57,14 +57,14 @@
 )
 def test_a_peer_that_others_told_of_lives_from_when_they_heard_it(seconds, expected):
     table = PeerTable(ME)
-    table.note_told((FAR, ME), at=9.5, now=10.0)
+    table.note_reported((FAR, ME), at=9.5, now=10.0)
     assert names(table, 10.0 + seconds) == expected
 
 
 def test_an_older_word_does_not_shorten_a_newer_one():
     table = PeerTable(ME)
-    table.note_told((FAR,), at=10.0, now=10.0)
-    table.note_told((FAR,), at=8.5, now=10.0)
+    table.note_reported((FAR,), at=10.0, now=10.0)
+    table.note_reported((FAR,), at=8.5, now=10.0)
     assert names(table, 11.5) == ["far", "me"]
 
 
@@ -73,7 +73,7 @@
     table.note_heard(beat(FAR), 10.0)
     assert names(table, 10.0) == ["far", "me"]
     table.note_heard(beat(FAR, leaving=True), 10.1)
-    table.note_told((FAR,), at=10.4, now=10.5)
+    table.note_reported((FAR,), at=10.4, now=10.5)
     assert names(table, 10.5) == ["me"]
     assert [peer.host for peer in table.list_seen(10.5)] == ["far"]
 
@@ -81,7 +81,7 @@
 def test_a_peer_that_left_is_back_by_its_own_word_at_once_and_by_that_of_others_later():
     table = PeerTable(ME)
     table.note_heard(beat(FAR, 1, leaving=True), 10.0)
-    table.note_told((FAR,), at=14.1, now=14.1)
+    table.note_reported((FAR,), at=14.1, now=14.1)
     assert names(table, 14.1) == ["far", "me"]
     table.note_heard(beat(FAR, 1, leaving=True), 15.0)
     table.note_heard(beat(FAR, 2), 15.2)
@@ -105,9 +105,9 @@
 
 def test_a_seed_gives_way_to_the_host_that_answers_from_its_address():
     table = PeerTable(ME)
-    table.greet(OTHER.ip)
-    table.greet(ME.ip)
-    table.greet(OTHER.ip)
+    table.add_seed(OTHER.ip)
+    table.add_seed(ME.ip)
+    table.add_seed(OTHER.ip)
     assert list(table.peers) == [f"seed {OTHER.ip}"]
     table.note_heard(beat(OTHER), 1.0)
     assert list(table.peers) == ["other"]
@@ -149,14 +149,15 @@
     assert Roster.of("c", roster.members).digest() != roster.digest()
 
 
-SUMMARY = Summary(
-    "far", "b", 10.0, 5, 7, True, "far", Mark(b"12345678", 0.0), (Mark(b"87654321", 0.25),),
+SUMMARY = RosterSummary(
+    "far", "b", 10.0, 5, 7, True, "far", RosterConfirmation(b"12345678", 0.0),
+    (RosterConfirmation(b"87654321", 0.25),),
     {"s": (10.0, 2.5, 1.5)}, {"i-1": ("decode", -1.5)},
 )  # fmt: skip
 
 
 @pytest.mark.parametrize(
-    "message", [SUMMARY, Wanted((b"12345678",)), next(split_roster(make_roster(3)))]
+    "message", [SUMMARY, RosterRequest((b"12345678",)), next(split_roster(make_roster(3)))]
 )
 def test_a_roster_message_survives_its_datagram(message):
     assert unpack_roster_message(pack_roster_message(message)) == message
@@ -172,9 +173,9 @@
 
 
 def test_a_summary_of_the_largest_fleet_fits_one_packet():
-    marks = tuple(Mark(bytes([n] * 8), 1.234) for n in range(26))
+    marks = tuple(RosterConfirmation(bytes([n] * 8), 1.234) for n in range(26))
     demand = {f"model-{n:02}": (123456.0, 123.45, 12.34) for n in range(11)}
-    summary = Summary(
+    summary = RosterSummary(
         "front-kirkos-hall-61", "kirkos-hall", 1000.0, 1 << 62, 38000, False,
         "front-kirkos-hall-1", marks[0], marks[1:], demand,
     )  # fmt: skip
@@ -215,7 +216,7 @@
 
 
 def summarise(rosters, member, others=()):
-    return Summary(
+    return RosterSummary(
         member.host, member.zone, 10.0, 1, 0, False, "", rosters.refresh_own(), tuple(others)
     )
 
@@ -227,11 +228,11 @@
     table, _ = make_rosters(wire, ME, clock)
     far.send(summarise(far, FAR), [ME])
     assert len(names(table, 10.0)) == 42
-    assert sum(isinstance(item, Part) for item in wire.sent) == 2
+    assert sum(isinstance(item, RosterPart) for item in wire.sent) == 2
     wire.sent.clear()
     clock[0] = 11.0
     far.send(summarise(far, FAR), [ME])
-    assert [type(item) for item in wire.sent] == [Summary]
+    assert [type(item) for item in wire.sent] == [RosterSummary]
     assert len(names(table, 13.9)) == 42
     assert names(table, 14.1) == ["me"]
 
@@ -346,9 +347,9 @@
     wire, clock = Wire(), [10.0]
     table, _ = make_rosters(wire, ME, clock)
     digest = make_roster(2).digest()
-    summary = Summary("far", "b", 10.0, 1, 0, False, "", Mark(digest, 0.0))
+    summary = RosterSummary("far", "b", 10.0, 1, 0, False, "", RosterConfirmation(digest, 0.0))
     wire.receivers[ME.ip](pack_roster_message(summary), FAR.ip)
-    forged = Part(digest, "b", 0, 1, make_roster(3).members)
+    forged = RosterPart(digest, "b", 0, 1, make_roster(3).members)
     with pytest.raises(FrameError):
         wire.receivers[ME.ip](pack_roster_message(forged), FAR.ip)
     assert names(table, 10.0) == ["me"]
@@ -500,7 +501,7 @@
     assert candidates.is_next_candidate()
     for item in HOSTS:
         if item.host != first:
-            table.note_told([item], 12.5, 12.5)
+            table.note_reported([item], 12.5, 12.5)
     clock[0] = 12.6
     assert candidates.is_candidate()
 
@@ -517,7 +518,7 @@
     assert others.is_candidate()
     clock[0] = 13.1
     for item in HOSTS:
-        other.note_told([item], 13.0, 13.0)
+        other.note_reported([item], 13.0, 13.0)
     assert others.is_candidate()
 
 
