--- a/tests/cover/test_platform_adapter.py
+++ b/tests/cover/test_platform_adapter.py
@@ -15,7 +15,7 @@
     UpstreamBrokenError,
 )
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
-from swifttrestle.internal.state.declared import Repeat, Role
+from swifttrestle.internal.state.declared import RetrySafety, Role
 from swifttrestle.platform import wire
 from swifttrestle.platform.engine import read_handle, read_report
 from swifttrestle.platform.records import read_configuration, read_upstream
@@ -99,11 +99,11 @@
 @pytest.mark.parametrize(
     ("change", "repeat", "streaming"),
     [
-        ({"type": "safe"}, Repeat.IDEMPOTENT, False),
-        ({"type": "unsafe"}, Repeat.AT_MOST_ONCE, False),
-        ({"type": "streaming"}, Repeat.AT_MOST_ONCE, True),
-        ({"type": "streaming", "resumable": True}, Repeat.IDEMPOTENT, True),
-        ({"type": "of a later version"}, Repeat.AT_MOST_ONCE, False),
+        ({"type": "safe"}, RetrySafety.IDEMPOTENT, False),
+        ({"type": "unsafe"}, RetrySafety.AT_MOST_ONCE, False),
+        ({"type": "streaming"}, RetrySafety.AT_MOST_ONCE, True),
+        ({"type": "streaming", "resumable": True}, RetrySafety.IDEMPOTENT, True),
+        ({"type": "of a later version"}, RetrySafety.AT_MOST_ONCE, False),
     ],
 )
 def test_a_route_says_what_may_be_repeated(change, repeat, streaming):
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -9,7 +9,12 @@
 from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.placement import pick_prefill_engine
-from swifttrestle.internal.protocol.bookings import Ask, Grant, pack_message, unpack_message
+from swifttrestle.internal.protocol.bookings import (
+    BookingQuery,
+    Grant,
+    pack_message,
+    unpack_message,
+)
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
 from swifttrestle.internal.state.bookings import BookingRequest, Outcome, Stage
 from swifttrestle.internal.state.declared import EngineTraits, Role, UpstreamRecord
@@ -159,7 +164,7 @@
         "h", "10.0.0.1", "a", 10.0, 5, 7, False, False, False, 0.0, {}, {}, {}, (), sent
     )
     assert unpack_report(pack_report(report)) == report
-    for message in (Ask(1, REQUEST), Grant(1, "p", "d", 9000, 0.5, 3000)):
+    for message in (BookingQuery(1, REQUEST), Grant(1, "p", "d", 9000, 0.5, 3000)):
         assert unpack_message(pack_message("h", message)) == ("h", message)
 
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -22,24 +22,28 @@
     find_term,
     is_quarantined,
 )
-from swifttrestle.internal.protocol.gossip import LARGEST_DATAGRAM
+from swifttrestle.internal.protocol.gossip import MAX_DATAGRAM_BYTES
 from swifttrestle.internal.protocol.quarantine import (
-    Acquittal,
-    CrashNews,
-    pack_news,
-    split_cases,
-    unpack_news,
+    Clearance,
+    CrashUpdate,
+    pack_crash_update,
+    split_records,
+    unpack_crash_update,
 )
-from swifttrestle.internal.state.crash_records import Case, Crash
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_fingerprints import RequestName, name_head, name_request
+from swifttrestle.internal.state.request_fingerprints import (
+    RequestFingerprint,
+    fingerprint_head,
+    fingerprint_request,
+)
 from swifttrestle.internal.transport.messages import Body, Framing, RequestHead
 
 NOW = 1000.0
 
 
 def make_name(number=0, head=0):
-    return RequestName(head.to_bytes(8, "big"), number.to_bytes(8, "big"))
+    return RequestFingerprint(head.to_bytes(8, "big"), number.to_bytes(8, "big"))
 
 
 def make_crashes(count, at=NOW):
@@ -170,7 +174,7 @@
     for chunk in chunks:
         body.feed(chunk)
     body.end()
-    return name_request(head, workspace, body)
+    return fingerprint_request(head, workspace, body)
 
 
 def test_the_same_request_has_the_same_name_however_its_body_came():
@@ -199,21 +203,21 @@
 def test_a_request_has_no_name_until_its_body_is_whole():
     body = Body()
     body.feed(b"bo")
-    assert name_request(HEAD, "", body) is None
+    assert fingerprint_request(HEAD, "", body) is None
     body.fail(ValueError("broken off"))
-    assert name_request(HEAD, "", body) is None
+    assert fingerprint_request(HEAD, "", body) is None
 
 
 def test_parts_of_a_head_cannot_be_taken_for_each_other():
     one = RequestHead(b"GET", b"b", ((b"host", b"a"),), Framing.NONE)
     other = RequestHead(b"GET", b"", ((b"host", b"ab"),), Framing.NONE)
-    assert name_head(one, "c") != name_head(other, "c")
+    assert fingerprint_head(one, "c") != fingerprint_head(other, "c")
 
 
 # What hosts tell each other.
 
 CASES = st.builds(
-    Case,
+    CrashRecord,
     st.builds(make_name, st.integers(0, 2**64 - 1), st.integers(0, 2**64 - 1)),
     st.lists(
         st.builds(Crash, st.text(min_size=1, max_size=40), st.floats(0, NOW)),
@@ -224,25 +228,25 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(CASES, max_size=40), st.booleans())
-def test_news_come_out_as_they_went_in(cases, asks):
-    news = CrashNews(tuple(cases), (Acquittal(make_name(3), NOW - 4),), asks)
-    read = unpack_news(pack_news(news, NOW), NOW + 100)
-    assert read.asks == asks
-    assert [case.name for case in read.cases] == [case.name for case in cases]
-    ages = [crash.at - 100 for case in read.cases for crash in case.crashes]
-    assert ages == pytest.approx([crash.at for case in cases for crash in case.crashes])
-    assert read.acquittals[0].at == pytest.approx(NOW + 96)
+def test_news_come_out_as_they_went_in(records, wants_all):
+    news = CrashUpdate(tuple(records), (Clearance(make_name(3), NOW - 4),), wants_all)
+    read = unpack_crash_update(pack_crash_update(news, NOW), NOW + 100)
+    assert read.wants_all == wants_all
+    assert [case.name for case in read.records] == [case.name for case in records]
+    ages = [crash.at - 100 for case in read.records for crash in case.crashes]
+    assert ages == pytest.approx([crash.at for case in records for crash in case.crashes])
+    assert read.clearances[0].at == pytest.approx(NOW + 96)
 
 
 def test_news_of_many_cases_fit_into_datagrams():
-    cases = [
-        Case(make_name(number), tuple(Crash(f"i-{n:010x}@1764720000000", NOW - n)
+    records = [
+        CrashRecord(make_name(number), tuple(Crash(f"i-{n:010x}@1764720000000", NOW - n)
                                       for n in range(4)))
         for number in range(50)
     ]  # fmt: skip
-    parts = list(split_cases(cases))
-    assert [case for part in parts for case in part.cases] == cases
-    assert max(len(pack_news(part, NOW)) for part in parts) <= LARGEST_DATAGRAM
+    parts = list(split_records(records))
+    assert [case for part in parts for case in part.records] == records
+    assert max(len(pack_crash_update(part, NOW)) for part in parts) <= MAX_DATAGRAM_BYTES
 
 
 STRAY = [
@@ -266,14 +270,14 @@
 @pytest.mark.parametrize("data", STRAY)
 def test_a_stray_datagram_is_refused_with_a_typed_error(data):
     with pytest.raises(FrameError):
-        unpack_news(data, NOW)
+        unpack_crash_update(data, NOW)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
 def test_no_bytes_do_more_than_raise_a_typed_error(data):
     with contextlib.suppress(FrameError):
-        unpack_news(data, NOW)
+        unpack_crash_update(data, NOW)
 
 
 # Who keeps a request's case.
@@ -307,5 +311,7 @@
 
 
 def test_quarantined_is_what_crashed_upstreams_often_enough():
-    assert not is_quarantined(Case(make_name(), tuple(make_crashes(CRASHES_TO_QUARANTINE - 1))))
-    assert is_quarantined(Case(make_name(), tuple(make_crashes(CRASHES_TO_QUARANTINE))))
+    assert not is_quarantined(
+        CrashRecord(make_name(), tuple(make_crashes(CRASHES_TO_QUARANTINE - 1)))
+    )
+    assert is_quarantined(CrashRecord(make_name(), tuple(make_crashes(CRASHES_TO_QUARANTINE))))
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -21,7 +21,7 @@
 from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.state.crash_records import Crash
 from swifttrestle.internal.state.members import Member
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
 # Seconds that a datagram takes at most, and within which all hosts must know.
@@ -94,7 +94,7 @@
 
 
 def make_name(number=7):
-    return RequestName(bytes(8), random.Random(number).randbytes(8))
+    return RequestFingerprint(bytes(8), random.Random(number).randbytes(8))
 
 
 def make_hosts(count, seed, lost_share=0.0):
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -9,15 +9,15 @@
 from swifttrestle.internal.policy import revocation
 from swifttrestle.internal.policy.revocation import Verdict, check_key
 from swifttrestle.internal.protocol.freshness import (
-    BeliefAnswer,
-    BeliefQuestion,
+    FreshnessQuery,
+    FreshnessReply,
     pack_freshness_query,
     pack_freshness_reply,
-    unpack_belief,
+    unpack_freshness,
 )
-from swifttrestle.internal.state.config_freshness import ConfigurationBelief
+from swifttrestle.internal.state.config_freshness import ConfigurationFreshness
 from swifttrestle.internal.state.declared import Workspace
-from swifttrestle.internal.state.median_clock import TrueTime
+from swifttrestle.internal.state.median_clock import MedianClock
 from swifttrestle.internal.state.peers import NEVER
 from swifttrestle.internal.state.routes import RouteTable
 from swifttrestle.internal.state.workspaces import WorkspaceKeys, digest_key
@@ -64,7 +64,7 @@
 )
 def test_a_proof_counts_for_its_version_and_for_later_ones(here, proofs, later, wanted):
     version = [here]
-    freshness = ConfigurationBelief(lambda: version[0])
+    freshness = ConfigurationFreshness(lambda: version[0])
     for proof in proofs:
         freshness.note(*proof)
     version[0] = later
@@ -77,7 +77,7 @@
     def __init__(self, clock_ahead):
         self.clock_ahead = clock_ahead
         self.version = 1
-        self.freshness = ConfigurationBelief(lambda: self.version)
+        self.freshness = ConfigurationFreshness(lambda: self.version)
 
     def clock(self, now):
         return now + self.clock_ahead
@@ -160,11 +160,11 @@
 
 
 @pytest.mark.parametrize(
-    "message", [BeliefQuestion(12.5, 1.7e9), BeliefAnswer(12.5, 7, 0.25, 1.7e9)]
+    "message", [FreshnessQuery(12.5, 1.7e9), FreshnessReply(12.5, 7, 0.25, 1.7e9)]
 )
 def test_questions_and_answers_are_read_as_they_were_written(message):
-    pack = pack_freshness_query if isinstance(message, BeliefQuestion) else pack_freshness_reply
-    assert unpack_belief(pack(message)) == message
+    pack = pack_freshness_query if isinstance(message, FreshnessQuery) else pack_freshness_reply
+    assert unpack_freshness(pack(message)) == message
 
 
 @pytest.mark.parametrize(
@@ -173,22 +173,22 @@
         b"",
         b"\xc1",
         b"\x90",
-        pack_freshness_query(BeliefQuestion(-1.0, 1.0)),
-        pack_freshness_query(BeliefQuestion(float("nan"), 1.0)),
-        pack_freshness_reply(BeliefAnswer(1.0, 0, 1.0, 1.0)),
-        pack_freshness_reply(BeliefAnswer(1.0, 2**63, 1.0, 1.0)),
-        pack_freshness_reply(BeliefAnswer(1.0, 1, float("inf"), 1.0)),
+        pack_freshness_query(FreshnessQuery(-1.0, 1.0)),
+        pack_freshness_query(FreshnessQuery(float("nan"), 1.0)),
+        pack_freshness_reply(FreshnessReply(1.0, 0, 1.0, 1.0)),
+        pack_freshness_reply(FreshnessReply(1.0, 2**63, 1.0, 1.0)),
+        pack_freshness_reply(FreshnessReply(1.0, 1, float("inf"), 1.0)),
     ],
 )
 def test_a_datagram_that_is_no_question_and_no_answer_is_refused(data):
     with pytest.raises(FrameError):
-        unpack_belief(data)
+        unpack_freshness(data)
 
 
 @given(st.binary(max_size=64))
 def test_any_bytes_are_a_message_or_are_refused(data):
     try:
-        unpack_belief(data)
+        unpack_freshness(data)
     except FrameError:
         return
 
@@ -205,7 +205,7 @@
 )
 def test_the_time_of_day_is_what_most_hosts_take_it_to_be(words, own, wanted):
     clock = [50.0]
-    true_time = TrueTime(lambda: clock[0], lambda: own + clock[0] - 50.0)
+    true_time = MedianClock(lambda: clock[0], lambda: own + clock[0] - 50.0)
     for number, wall in enumerate(words):
         true_time.note(f"h{number}", wall)
     clock[0] += 1.0
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -17,7 +17,7 @@
 from swifttrestle.internal.policy.fetching import list_sources
 from swifttrestle.internal.protocol.listings import ListingChanges, pack_changes, unpack_changes
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
-from swifttrestle.internal.state.fleet import NOTHING, Fleet, OpenWork
+from swifttrestle.internal.state.fleet import NO_WORK, Fleet, OpenWork
 from swifttrestle.internal.state.prompt_cache import PromptPart, SentPrompt
 from swifttrestle.internal.state.store_epochs import StoreRevision
 from swifttrestle.platform.engine import is_other_start, read_kept_parts, read_report
@@ -58,7 +58,7 @@
     instance = fleet.instances[start]
     instance.own = OpenWork(100, 1)
     instance.refused_until = 9.0
-    instance.learn(100_000, 1.0)
+    instance.update_read_rate(100_000, 1.0)
     return fleet, instance
 
 
@@ -68,7 +68,7 @@
     assert fleet.put(LATER)
     now = fleet.find_start("e")
     assert fleet.list_service("s") == [now]
-    assert (now.total, now.role, now.refused_until) == (NOTHING, Role.PREFILL, float("-inf"))
+    assert (now.total, now.role, now.refused_until) == (NO_WORK, Role.PREFILL, float("-inf"))
     assert now.cache.count(PARTS) == 0
     assert former.replaced and former.leaving
     assert not list_sources([former, now], PARTS, ())
@@ -85,7 +85,7 @@
     roles.take({FIRST.start: ("decode", 2.0)}, "peer")
     assert not fleet.put(replace(FIRST, leaving=True))
     assert fleet.find_start("e") is now
-    assert (now.total, now.role, now.leaving) == (NOTHING, Role.PREFILL, False)
+    assert (now.total, now.role, now.leaving) == (NO_WORK, Role.PREFILL, False)
     assert now.cache.count(PARTS) == 0
 
 
@@ -95,7 +95,7 @@
     fleet.note_peer("peer", {LATER.start: OpenWork(700, 3)}, now=1.0)
     assert fleet.find_start("e").peers == OpenWork(700, 3)
     fleet.expire_peers(now=10.0)
-    assert fleet.find_start("e").peers == NOTHING
+    assert fleet.find_start("e").peers == NO_WORK
 
 
 def test_an_instance_that_tells_no_start_keeps_what_is_believed_of_it():
@@ -121,7 +121,7 @@
         budgets = RetryBudgets(0.2, 10, 10)
         parts = GatewayState("a", fleet, budgets, Metrics(), random.Random(1))
         broken = []
-        parts.pool.break_off = broken.append
+        parts.pool.abort_all = broken.append
         fleet.put(FIRST)
         fleet.put(LATER)
         await asyncio.sleep(0.2)
--- a/tests/cover/test_usage.py
+++ b/tests/cover/test_usage.py
@@ -96,7 +96,7 @@
     for source, count in told.items():
         meter.take(WindowCounts(source, 10, {"club": count}))
     kept = UsageDraft(10, {"club": draft[0]}, draft[1]) if draft else None
-    assert meter.sum_with(10, kept).get("club", 0) == wanted
+    assert meter.sum_with_draft(10, kept).get("club", 0) == wanted
 
 
 def test_many_workspaces_go_in_several_datagrams():
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -13,13 +13,13 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.placement import pick_prefill_engine
 from swifttrestle.internal.policy.waiting import Backlog, find_patience, predict_late_turn
-from swifttrestle.internal.protocol.bookings import Ask, pack_message, unpack_message
-from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoRoom
-from swifttrestle.internal.state.declared import Repeat, Role, Route, Target, UpstreamRecord
+from swifttrestle.internal.protocol.bookings import BookingQuery, pack_message, unpack_message
+from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity
+from swifttrestle.internal.state.declared import RetrySafety, Role, Route, Target, UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet, Instance, OpenWork
 
 ROUTE = Route(
-    "r", "h", "/r/", Repeat.AT_MOST_ONCE, True, False, 6.0, 0.3, 0.2, 0, 1, (Target("s", 1.0),)
+    "r", "h", "/r/", RetrySafety.AT_MOST_ONCE, True, False, 6.0, 0.3, 0.2, 0, 1, (Target("s", 1.0),)
 )
 
 
@@ -57,7 +57,7 @@
 def make_reader(name, wait=0.0):
     record = UpstreamRecord(name, "s", (name, 1), "a", 40, False, Role.PREFILL)
     engine = Instance(record)
-    engine.own = OpenWork(int(wait * engine.pace), 1 if wait else 0)
+    engine.own = OpenWork(int(wait * engine.effective_read_rate), 1 if wait else 0)
     return engine
 
 
@@ -144,13 +144,13 @@
         reader.own = OpenWork(1_500_000, 1)
         now = asyncio.get_running_loop().time()
         # Offered work is an average over four seconds.
-        parts.demand.note_arrival("s", "r", int(offered * reader.pace * 4), now)
+        parts.demand.note_arrival("s", "r", int(offered * reader.effective_read_rate * 4), now)
         request = replace(REQUEST, longest_read_wait=10.0, latest_read=10.0)
         asked = asyncio.ensure_future(booker.book(request))
         await settle()
         assert asked.done() is refused
         if refused:
-            assert isinstance(asked.result(), NoRoom)
+            assert isinstance(asked.result(), NoCapacity)
         asked.cancel()
         await asyncio.gather(asked, return_exceptions=True)
 
@@ -159,7 +159,10 @@
 
 def test_the_patience_of_a_request_survives_its_datagram():
     for request in (REQUEST, replace(REQUEST, latest_read=math.inf)):
-        assert unpack_message(pack_message("h", Ask(1, request))) == ("h", Ask(1, request))
+        assert unpack_message(pack_message("h", BookingQuery(1, request))) == (
+            "h",
+            BookingQuery(1, request),
+        )
 
 
 @pytest.mark.parametrize(("hosts", "share"), [(1, 1.0), (9, 1 / 9), (65, 0.5)])
--- a/tests/hosted/test_innocents.py
+++ b/tests/hosted/test_innocents.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from swifttrestle.internal.state.crash_records import Case, Crash
-from swifttrestle.internal.state.request_fingerprints import RequestName, name_request
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint, fingerprint_request
 from swifttrestle.internal.transport.messages import Body, Framing, RequestHead
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import DEADLY
@@ -148,9 +148,9 @@
     asked = asyncio.ensure_future(ask(address_of(site, "g2"), "/card/a", "slow", body=b"same"))
     await wait_until(lambda: count_runs(site, "slow"), "run")
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
-    name = name_request(head, "", Body.from_bytes(b"same"))
+    name = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
-    case = Case(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
+    case = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
     for host in HOSTS:
         find_guard(site, host).merge_crash_records([case], "test")
     refused = await ask(address_of(site), "/card/a", "early", body=b"same")
@@ -168,9 +168,9 @@
     # Its caller and path are those of a quarantined request; its body tells that it is another.
     await tell_starts(site)
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
-    name = name_request(head, "", Body.from_bytes(b"same"))
+    name = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
-    case = Case(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
+    case = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
     find_guard(site, "g0").merge_crash_records([case], "test")
     for last, status in ((b"e", 503), (b"x", 200)):
         caller = await RawCaller.connect(address_of(site))
@@ -193,7 +193,7 @@
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 3 for item in gateways), "all hosts")
     now = asyncio.get_running_loop().time()
-    name = RequestName(bytes(8), bytes(range(8)))
+    name = RequestFingerprint(bytes(8), bytes(range(8)))
     for number in range(2):
         find_guard(site, "g1").report_crash([name], Crash(f"i-{number}", now))
     await wait_until(lambda: all(count_quarantined(site)), "known")
--- a/tests/hosted/test_kept_quarantine.py
+++ b/tests/hosted/test_kept_quarantine.py
@@ -10,18 +10,18 @@
     QUARANTINE_KIND,
     QUARANTINE_NAME,
 )
-from swifttrestle.internal.protocol.quarantine import pack_name
-from swifttrestle.internal.state.crash_records import Case, Crash
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.protocol.quarantine import pack_fingerprint
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.hosted.site import wait_until
 from tests.common.http import ask
 from tests.hosted.sites import address_of, on_site
 from tests.hosted.test_innocents import count_quarantined, find_guard
 
 OBJECT = QUARANTINE_KIND, QUARANTINE_NAME
-NAME = RequestName(bytes(8), bytes(range(8)))
+NAME = RequestFingerprint(bytes(8), bytes(range(8)))
 GOOD = {
-    "name": pack_name(NAME).hex(),
+    "name": pack_fingerprint(NAME).hex(),
     "crashes": [{"start": "i-1", "at": 1}, {"start": "i-2", "at": 2}],
 }
 STRAY = [
@@ -100,7 +100,10 @@
 @on_site(gateways=1)
 async def test_the_object_stays_small_whatever_callers_send(site):
     now = asyncio.get_running_loop().time()
-    names = [RequestName(bytes(8), number.to_bytes(8, "big")) for number in range(MOST_STORED + 50)]
+    names = [
+        RequestFingerprint(bytes(8), number.to_bytes(8, "big"))
+        for number in range(MOST_STORED + 50)
+    ]
     for number in range(2):
         find_guard(site).report_crash(names, Crash(f"i-{number}", now))
     await wait_until(lambda: read_requests(site), "kept")
@@ -111,7 +114,7 @@
 async def test_what_was_quarantined_while_the_store_was_away_is_kept_on_its_return(site):
     site.store.faults.down = True
     now = asyncio.get_running_loop().time()
-    case = Case(NAME, (Crash("i-1", now), Crash("i-2", now)))
+    case = CrashRecord(NAME, (Crash("i-1", now), Crash("i-2", now)))
     for crash in case.crashes:
         find_guard(site).report_crash([NAME], crash)
     await wait_until(lambda: all(count_quarantined(site)), "known")
--- a/tests/hosted/test_late_words.py
+++ b/tests/hosted/test_late_words.py
@@ -13,12 +13,12 @@
 
 from swifttrestle.internal.policy.quarantine import FIRST_QUARANTINE_SECONDS, RELEASE_JITTER_SHARE
 from swifttrestle.internal.state.crash_records import Crash
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.hosted.site import wait_until
 from tests.hosted.sites import on_site
 from tests.hosted.test_innocents import count_quarantined, find_guard
 
-NAME = RequestName(bytes(8), bytes(range(8)))
+NAME = RequestFingerprint(bytes(8), bytes(range(8)))
 LATE_SECONDS = 2.5
 
 
--- a/tests/hosted/test_store_returns.py
+++ b/tests/hosted/test_store_returns.py
@@ -7,8 +7,8 @@
 from swifttrestle.internal.coordination.quarantine_store import QUARANTINE_KIND, QUARANTINE_NAME
 from swifttrestle.internal.coordination.registration import PEER_KIND
 from swifttrestle.internal.policy import scheduling
-from swifttrestle.internal.state.crash_records import Case, Crash
-from swifttrestle.internal.state.request_fingerprints import RequestName
+from swifttrestle.internal.state.crash_records import Crash, CrashRecord
+from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import StandInUpstream
 from tests.hosted.sites import bring_back, build_site, on_built, on_site, wait_in_force
@@ -193,7 +193,9 @@
 @on_built(build_site_with_early_copy)
 async def test_a_host_that_starts_after_a_return_knows_the_quarantined_requests(site):
     now = asyncio.get_running_loop().time()
-    case = Case(RequestName(bytes(8), b"deadly66"), (Crash("i-1", now), Crash("i-2", now)))
+    case = CrashRecord(
+        RequestFingerprint(bytes(8), b"deadly66"), (Crash("i-1", now), Crash("i-2", now))
+    )
     for item in site.gateways.values():
         item.gateway._state.guard.merge_crash_records([case], "a test")
         item.gateway._quarantine.note_change()
