--- a/bench/drain.py
+++ b/bench/drain.py
@@ -10,7 +10,7 @@
 import time
 from typing import cast
 
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 
 READ_BYTES = 1 << 18
 MARK = b'"offset":'
@@ -19,7 +19,7 @@
 
 def open_stream(address: str, path: str, headers: str, body: bytes) -> socket.socket:
     """Send one request and return its socket, set not to block."""
-    sock = socket.create_connection(split_address(address), 30)
+    sock = socket.create_connection(parse_address(address), 30)
     head = f"POST {path} HTTP/1.1\r\nHost: bench\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     sock.sendall(head.encode() + body)
     sock.setblocking(False)
--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -20,7 +20,7 @@
     NotFoundError,
     SwifttrestleError,
 )
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 from swifttrestle.internal.coordination.actors import STATUS
 from swifttrestle.internal.coordination.conditional_writes import (
     read_or_none,
@@ -34,7 +34,7 @@
 from swifttrestle.internal.protocol.platform import RestObjectApi, StoredObject
 from swifttrestle.internal.settings import ENV_PREFIX, check_platform, read_environment
 from swifttrestle.internal.transport.http import make_client
-from swifttrestle.resources import KINDS, collect, find_faults, parse_resource
+from swifttrestle.resources import KINDS, find_faults, group_resources, parse_resource
 
 OUTPUTS = ("table", "yaml", "json")
 EXIT_REFUSED = 1
@@ -259,7 +259,9 @@
                 merged[f"{kind}/{item.name}"] = (kind, item.name, strip_nonce(item))
         merged |= {d.key: (d.kind, d.name, d.spec) for d in documents}
         parsed = [parse_resource(*parts).value_or(None) for parts in merged.values()]
-        faults = find_faults(collect(resource for resource in parsed if resource is not None))
+        faults = find_faults(
+            group_resources(resource for resource in parsed if resource is not None)
+        )
         paths = {document.key: document.path for document in documents}
         mine = [f"{paths[fault.resource]}: {fault}" for fault in faults if fault.resource in paths]
         if mine:
@@ -280,9 +282,9 @@
                 )
 
     def _wait_in_force(self, documents: list[Document], seconds: float) -> None:
-        give_up = read_seconds() + seconds
+        give_up = read_boottime_seconds() + seconds
         wanted = {d.key: parse_resource(d.kind, d.name, d.spec).unwrap().spec() for d in documents}
-        while read_seconds() < give_up:
+        while read_boottime_seconds() < give_up:
             if self._is_in_force(wanted):
                 _say("accepted and in force at every entry")
                 return
--- a/src/swifttrestle/entry.py
+++ b/src/swifttrestle/entry.py
@@ -7,8 +7,8 @@
 
 import fire
 
-from swifttrestle.internal.checks import split_address
-from swifttrestle.internal.clock import MonotonicClock, read_seconds
+from swifttrestle.internal.checks import parse_address
+from swifttrestle.internal.clock import MonotonicClock, read_boottime_seconds
 from swifttrestle.internal.entry.attempts import Attempts
 from swifttrestle.internal.entry.crash_guard import EntryCrashGuard
 from swifttrestle.internal.entry.idempotency import IdempotencyRecords
@@ -73,7 +73,7 @@
             self.table, self.line, self.process.metrics, settings.report_seconds
         )
         self.server = make_server(
-            split_address(settings.listen),
+            parse_address(settings.listen),
             self.handler,
             settings.threads,
             settings.max_body_bytes,
@@ -116,9 +116,9 @@
     def _stop(self) -> None:
         """Refuse new requests, then wait for the open ones; none is cut."""
         self.handler.stopping = True
-        give_up = read_seconds() + self._settings.stop_seconds
+        give_up = read_boottime_seconds() + self._settings.stop_seconds
         with self.handler.idle:
-            while self.handler.open_requests and read_seconds() < give_up:
+            while self.handler.open_requests and read_boottime_seconds() < give_up:
                 self.handler.idle.wait(0.2)
         self.reports.stop()
         self.server.stop()
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -22,7 +22,7 @@
 from swifttrestle.internal.coordination.prompt_cache_loader import PromptCacheLoader
 from swifttrestle.internal.coordination.quarantine_relay import QuarantineRelay
 from swifttrestle.internal.coordination.quarantine_store import QuarantineStore
-from swifttrestle.internal.event_log import WRITER, log_decision
+from swifttrestle.internal.event_log import WRITER, log_event
 from swifttrestle.internal.forward.booking import LocalBooker
 from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.forward.handler import GatewayHandler
@@ -124,7 +124,7 @@
             socket,
             settings.host,
             self._gossip.list_members,
-            settings.is_near,
+            settings.is_in_same_region,
         )
         self._gossip.recipients.list_schedulers = self._booker.list_schedulers
         self._quarantine = QuarantineStore(
@@ -226,7 +226,7 @@
         pages = self._operators.make_handler()
         await self._listeners.open((settings.ip, self._metrics_port), pages)
         self._listeners.complete = True
-        log_decision("started", ip=settings.ip, zone=settings.zone)
+        log_event("started", ip=settings.ip, zone=settings.zone)
         try:
             await self._stopping.wait()
             await self._stop()
@@ -246,15 +246,15 @@
         """Return whether an upstream's instance is in use."""
         return self._fleet.knows(name)
 
-    def is_left_out(self, name: str) -> bool:
+    def is_ejected(self, name: str) -> bool:
         """Return whether an instance is left out as broken now."""
         return self._state.ejector.is_ejected(name, asyncio.get_running_loop().time())
 
-    def count_open_work(self) -> int:
+    def count_open_requests(self) -> int:
         """Return this host's open requests at all upstreams."""
         return sum(item.own.requests for item in self._fleet.instances.values())
 
-    def count_peer_work(self) -> int:
+    def count_peer_requests(self) -> int:
         """Return the peers' open requests at all upstreams, as they last reported them."""
         return sum(item.peers.requests for item in self._fleet.instances.values())
 
@@ -285,13 +285,13 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         end = began + self._settings.bounds.stop - END_MARGIN_SECONDS
-        log_decision("stopping", open=self._listeners.count_busy())
+        log_event("stopping", open=self._listeners.count_busy())
         self._gossip.announce_leaving()
         await self._listeners.wait_for_learning(self._settings.bounds.stop / 2)
         self._handler.stops_at = end
         await self._listeners.finish(end)
         seconds = round(loop.time() - began, 2)
-        log_decision("stopped", cut=self._listeners.count_busy(), seconds=seconds)
+        log_event("stopped", cut=self._listeners.count_busy(), seconds=seconds)
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -302,7 +302,7 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             # A duty that ended by a fault of the program must not fail in silence.
-            log_decision("task failed", error=repr(task.exception()))
+            log_event("task failed", error=repr(task.exception()))
             WRITER.flush()
             self._stopping.set()
 
@@ -348,11 +348,11 @@
         """Read the settings file again."""
         try:
             settings = load_host_settings()
-            log_decision("settings read again", source="signal or changed file")
+            log_event("settings read again", source="signal or changed file")
             self._apply(settings)
         except InvalidSettingError as error:
             # The process goes on with the settings that it has.
-            log_decision("settings not taken", reason=str(error))
+            log_event("settings not taken", reason=str(error))
 
     def _apply(self, settings: HostSettings) -> None:
         """Take over what may change while running: the bounds of repeats, and the seeds.
@@ -360,7 +360,7 @@
         Addresses cannot change under open connections; they count from the next start.
         """
         if settings.callers != self._settings.callers or settings.store != self._settings.store:
-            log_decision("settings kept", names=["listen", "platform"], reason="need a restart")
+            log_event("settings kept", names=["listen", "platform"], reason="need a restart")
         bounds = settings.bounds
         self._budgets.change(bounds.retry_share, bounds.retry_extra, bounds.retry_window)
         self._gossip.add_seeds([seed[0] for seed in settings.seeds])
--- a/src/swifttrestle/internal/callbacks.py
+++ b/src/swifttrestle/internal/callbacks.py
@@ -1,5 +1,5 @@
 """What stands in the place of a callback that nobody has set."""
 
 
-def ignore(*_: object) -> None:
+def do_nothing(*_: object) -> None:
     """Do nothing: nobody wants to know."""
--- a/src/swifttrestle/internal/checks.py
+++ b/src/swifttrestle/internal/checks.py
@@ -16,7 +16,7 @@
 _HEX64 = re.compile(r"[0-9a-f]{64}")
 MAX_PORT = 65535
 # The largest count, number or time that another's word may hold: a signed number of 64 bits.
-LARGEST_SIGNED = 2**63 - 1
+MAX_INT64 = 2**63 - 1
 
 T = TypeVar("T")
 
@@ -49,7 +49,7 @@
     return value
 
 
-def check_whole(value: Any, low: int, high: int) -> int:
+def check_integer(value: Any, low: int, high: int) -> int:
     """Return a whole number between low and high, both included."""
     if not isinstance(value, int) or isinstance(value, bool) or not low <= value <= high:
         raise ValueError(f"{value!r} is out of range; give a whole number from {low} to {high}")
@@ -91,7 +91,7 @@
     return value
 
 
-def split_address(value: Any) -> tuple[str, int]:
+def parse_address(value: Any) -> tuple[str, int]:
     """Return host and port of 'host:port'."""
     host, _, port = str(value).rpartition(":")
     numeric = port.isascii() and port.isdigit()
@@ -102,7 +102,7 @@
 
 def split_ip_address(value: Any) -> tuple[str, int]:
     """Return host and port of 'IP:PORT'; a name would have to be looked up at each connection."""
-    host, port = split_address(value)
+    host, port = parse_address(value)
     try:
         ip = ipaddress.ip_address(host)
     except ValueError:
@@ -114,5 +114,5 @@
 
 def check_address(value: Any) -> str:
     """Return an address written as 'host:port'."""
-    split_address(value)
+    parse_address(value)
     return str(value)
--- a/src/swifttrestle/internal/clock.py
+++ b/src/swifttrestle/internal/clock.py
@@ -12,7 +12,7 @@
 read_kernel_clock = time.clock_gettime
 
 
-def read_seconds() -> float:
+def read_boottime_seconds() -> float:
     """Return steady seconds since an arbitrary point, suspended ones among them."""
     return read_kernel_clock(time.CLOCK_BOOTTIME)
 
@@ -30,4 +30,4 @@
 
     def now(self) -> float:
         """Return its seconds, suspended ones among them."""
-        return read_seconds()
+        return read_boottime_seconds()
--- a/src/swifttrestle/internal/coordination/acceptance.py
+++ b/src/swifttrestle/internal/coordination/acceptance.py
@@ -18,8 +18,8 @@
     KINDS,
     FieldFault,
     Resource,
-    collect,
     find_faults,
+    group_resources,
     parse_resource,
 )
 
@@ -49,7 +49,7 @@
                 if key in accepted:
                     wanted[key] = accepted[key]
     for _ in range(len(KINDS)):
-        clashes = find_faults(collect(wanted.values()))
+        clashes = find_faults(group_resources(wanted.values()))
         if not clashes:
             return Verdict(wanted, tuple(faults))
         faults.extend(clash for clash in clashes if clash not in faults)
--- a/src/swifttrestle/internal/coordination/capacity.py
+++ b/src/swifttrestle/internal/coordination/capacity.py
@@ -7,7 +7,7 @@
 
 from swifttrestle.errors import LeaseLostError
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.capacity import (
     PeakNeed,
@@ -21,7 +21,7 @@
 from swifttrestle.internal.state.demand import DemandMeter
 from swifttrestle.internal.state.duties import DutyLease, RecordedCapacity
 from swifttrestle.internal.state.fleet import Fleet, Instance
-from swifttrestle.platform.duties import Authority, CallOutcome, DutyCalls
+from swifttrestle.platform.duties import CallOutcome, DutyApiClient, LeaseCredentials
 
 # Seconds between two looks.
 POLL_SECONDS = 0.5
@@ -59,7 +59,7 @@
     def __init__(
         self,
         lease: DutyLeaseManager,
-        calls: DutyCalls | None,
+        calls: DutyApiClient | None,
         fleet: Fleet,
         demand: DemandMeter,
         find_configuration: Callable[[], Configuration | None],
@@ -108,14 +108,14 @@
             try:
                 await self._look(configuration, self._calls)
             except LeaseLostError as error:
-                log_decision("orders of upstreams wait", reason=str(error))
+                log_event("orders of upstreams wait", reason=str(error))
 
-    async def _look(self, configuration: Configuration, calls: DutyCalls) -> None:
+    async def _look(self, configuration: Configuration, calls: DutyApiClient) -> None:
         for service in configuration.services.values():
             if service.scaling is not None:
                 await self._look_at(service.name, service.scaling, calls)
 
-    async def _look_at(self, service: str, scaling: Scaling, calls: DutyCalls) -> None:
+    async def _look_at(self, service: str, scaling: Scaling, calls: DutyApiClient) -> None:
         instances = self._fleet.list_service(service)
         zones = self._list_zones(service, instances)
         if not zones:
@@ -245,7 +245,7 @@
 
     def _note_plans(self, service: str, plans: tuple[ZonePlan, ...], need: int) -> None:
         if self.plans.get(service) != plans:
-            log_decision(
+            log_event(
                 "capacity planned",
                 service=service,
                 need=need,
@@ -262,7 +262,7 @@
         wanted: int,
         standing: int,
         scaling: Scaling,
-        calls: DutyCalls,
+        calls: DutyApiClient,
     ) -> None:
         """Order a number unless it stands, or an order of it is on its way."""
         subject = (service, zone, reclaimable)
@@ -277,9 +277,9 @@
         until = await self._lease.write_down(lambda held: held.with_capacity(record))
         lease, now = self._lease.lease, _now()
         if lease is None or now > until:
-            log_decision("order of upstreams not sent", zone=zone, reason="its time was over")
+            log_event("order of upstreams not sent", zone=zone, reason="its time was over")
             return
-        authority = Authority(lease.holder, lease.token)
+        authority = LeaseCredentials(lease.holder, lease.token)
         outcome = await calls.order_upstreams(authority, service, zone, wanted, reclaimable)
         self._sent[subject] = SentOrder(wanted, now, outcome)
         beside = self._sent.get((service, zone, True))
@@ -294,7 +294,7 @@
             self._dry_until[service, zone] = now + DRY_SECONDS
         kind = _name_kind(reclaimable)
         self._metrics.count("capacity_orders_total", kind=kind, outcome=outcome.value)
-        log_decision(
+        log_event(
             "upstreams ordered",
             service=service,
             zone=zone,
--- a/src/swifttrestle/internal/coordination/config_authority.py
+++ b/src/swifttrestle/internal/coordination/config_authority.py
@@ -5,7 +5,7 @@
 from swifttrestle.internal.coordination.conditional_writes import read_or_none, write_once
 from swifttrestle.internal.coordination.leases import LeaseManager
 from swifttrestle.internal.coordination.object_cache import ObjectCache
-from swifttrestle.internal.logs import log_change, log_fault
+from swifttrestle.internal.logs import log_info, log_warning
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.platform import ObjectApi
 from swifttrestle.internal.state.config import ACCEPTED, ConfigStore, read_shard
@@ -65,7 +65,7 @@
         verdict = decide_acceptance(stored, accepted)
         if verdict.faults != self.faults:
             for fault in verdict.faults:
-                log_fault("resource not accepted", fault=str(fault))
+                log_warning("resource not accepted", fault=str(fault))
         self.faults = verdict.faults
         if verdict.accepted != accepted:
             self._write_shards(verdict.accepted, accepted)
@@ -88,7 +88,7 @@
         spec = {"epoch": epoch, "token": self.lease.check(), "resources": resources}
         written = write_once(self._api, ACCEPTED, name, spec, stored.version if stored else 0)
         self._cache.apply_own_write(written)
-        log_change("configuration accepted", shard=name, epoch=epoch)
+        log_info("configuration accepted", shard=name, epoch=epoch)
 
 
 def list_resources(current: ResourceSet) -> dict[str, Resource]:
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -10,16 +10,16 @@
     HistoryGoneError,
     PlatformUnavailableError,
 )
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.copies import ConfigurationCopy
 from swifttrestle.internal.state.config_freshness import ConfigurationFreshness
 from swifttrestle.internal.state.declared import Configuration
 from swifttrestle.internal.state.routes import RouteTable
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
-from swifttrestle.platform.objects import StoredObject, UnreadObject
+from swifttrestle.platform.objects import MalformedObject, StoredObject
 from swifttrestle.platform.records import CONFIG_KIND, CONFIG_NAME, read_configuration
 from swifttrestle.platform.store import WATCH_SECONDS, ObjectStore
 
@@ -86,7 +86,7 @@
 
         Raises BadEntryError for one that cannot be read, after it was skipped.
         """
-        began = read_seconds()
+        began = read_boottime_seconds()
         try:
             configuration = read_configuration(raw)
         except BadEntryError as error:
@@ -99,13 +99,13 @@
     def _put(self, configuration: Configuration, raw: Any, source: str, began: float) -> None:
         before = self.version
         self.table = RouteTable(configuration)
-        log_decision(
+        log_event(
             "configuration in force",
             version=configuration.version,
             before=before,
             source=source,
             routes=len(configuration.routes),
-            index_ms=round((read_seconds() - began) * 1000, 1),
+            index_ms=round((read_boottime_seconds() - began) * 1000, 1),
         )
         self.raw = raw
         self._changed()
@@ -140,7 +140,7 @@
                 await self._follow()
                 await self._ask_store()
             except HistoryGoneError:
-                log_decision("configuration history gone", revision=str(self._revision))
+                log_event("configuration history gone", revision=str(self._revision))
                 self._revision = NO_REVISION
                 await asyncio.sleep(self._rng.random() * MAX_BACKOFF_SECONDS / 2)
             except PlatformUnavailableError as error:
@@ -192,8 +192,8 @@
         for item in snapshot.items:
             if item.name == CONFIG_NAME:
                 self._note_listed(item, asked_at)
-        for unread in snapshot.unread:
-            self._take_item(unread)
+        for malformed in snapshot.malformed:
+            self._take_item(malformed)
         self._revision = snapshot.revision
 
     def _note_listed(self, item: StoredObject, asked_at: float) -> None:
@@ -210,9 +210,9 @@
                 self._take_item(change.item)
         self._revision = seen.revision
 
-    def _take_item(self, item: StoredObject | UnreadObject) -> None:
+    def _take_item(self, item: StoredObject | MalformedObject) -> None:
         """Put the version of an entry in force; whatever else is there changes nothing."""
-        if isinstance(item, UnreadObject):
+        if isinstance(item, MalformedObject):
             self._skipped.skip(item.kind, item.name, item.error, item.content)
         elif item.name == CONFIG_NAME:
             self.take(item.spec, "store")
@@ -229,7 +229,7 @@
         self._revision = NO_REVISION
         self._failures += 1
         if self._failures == 2:
-            log_decision("store lost", by="configuration", reason=str(error))
+            log_event("store lost", by="configuration", reason=str(error))
         await asyncio.sleep(
             draw_backoff(self._rng, self._failures, FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         )
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -11,13 +11,13 @@
 from swifttrestle.internal.coordination.removals import Removals
 from swifttrestle.internal.coordination.restored_entries import CopiedEntries
 from swifttrestle.internal.coordination.store_availability import StoreAvailability
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.listings import ListingChanges, join_changes
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
-from swifttrestle.platform.objects import Change, Snapshot, StoredObject, UnreadObject
+from swifttrestle.platform.objects import Change, MalformedObject, Snapshot, StoredObject
 from swifttrestle.platform.records import UPSTREAM_KIND
 from swifttrestle.platform.store import ObjectStore
 
@@ -125,7 +125,7 @@
                 self._paused = max(0.0, MIN_CALL_INTERVAL_SECONDS - (self._now() - began))
                 await asyncio.sleep(self._paused)
             except HistoryGoneError:
-                log_decision("discovery history gone", revision=str(self._revision))
+                log_event("discovery history gone", revision=str(self._revision))
                 self._stale = True
                 if self._store.epochs.current == self._revision.epoch:
                     await asyncio.sleep(self._rng.random() * MIN_CALL_INTERVAL_SECONDS / 2)
@@ -144,14 +144,14 @@
         if same_epoch and snapshot.revision < self._revision:
             # Another host has told of what is newer in the meantime.
             dropped, known = str(snapshot.revision), str(self._revision)
-            log_decision("older list dropped", revision=dropped, known=known)
+            log_event("older list dropped", revision=dropped, known=known)
             return
         if not same_epoch and self.known:
             self._begin_epoch(snapshot)
         self._revision = snapshot.revision
         listed = {item.name for item in snapshot.items if self._take(item).listed}
-        for unread in snapshot.unread:
-            self._take(unread)
+        for malformed in snapshot.malformed:
+            self._take(malformed)
         if snapshot.complete:
             for name in self._fleet.list_names() - listed:
                 self._remove(name)
@@ -167,7 +167,7 @@
         self._contact.record_answer(now)
         self.removals.note_epoch(now)
         left_aside = self._copied.begin(snapshot, now)
-        log_decision(
+        log_event(
             "list of a returned store",
             revision=str(snapshot.revision),
             known=str(self._revision),
@@ -211,7 +211,7 @@
         self._remove(change.item.name)
         return _Taken(listed=False)
 
-    def _take(self, item: StoredObject | UnreadObject) -> _Taken:
+    def _take(self, item: StoredObject | MalformedObject) -> _Taken:
         """Take one entry over; one that names no instance to use counts as gone."""
         record = self._entries.read(item)
         if record is not None:
@@ -229,7 +229,7 @@
         self._copied.note_listed(record.instance)
         if not self._fleet.put(record):
             return was_missing
-        log_decision(
+        log_event(
             "instance listed",
             instance=record.start,
             service=record.service,
@@ -273,7 +273,7 @@
             ):
                 await self._told.wait()
         except TimeoutError:
-            log_decision("list watcher silent", revision=str(self._revision))
+            log_event("list watcher silent", revision=str(self._revision))
             self._stale = True
 
     def _take_told(self, changes: ListingChanges) -> None:
@@ -314,7 +314,7 @@
             self._away = False
             self.store_returns += 1
             self.removals.note_return(now)
-            log_decision("store regained", by="discovery")
+            log_event("store regained", by="discovery")
 
     async def _wait_out(self, error: PlatformUnavailableError) -> None:
         # As for the configuration, only a fresh list tells what changed behind a cut watch.
@@ -325,7 +325,7 @@
         self._failures += 1
         if self._failures >= FAILURES_FOR_OUTAGE and not self._away:
             self._away = True
-            log_decision("store lost", by="discovery", reason=str(error))
+            log_event("store lost", by="discovery", reason=str(error))
         await asyncio.sleep(
             draw_backoff(self._rng, self._failures, FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         )
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -17,7 +17,7 @@
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import PeerSocket
 from swifttrestle.internal.transport.pool import ConnectionPool
-from swifttrestle.platform.duties import DutyCalls
+from swifttrestle.platform.duties import DutyApiClient
 from swifttrestle.platform.settings import HostSettings
 from swifttrestle.platform.store import ObjectStore
 
@@ -47,7 +47,7 @@
         self._host = settings.host
         self._gossip = gossip
         bounds, wanted = settings.bounds, settings.duties
-        calls = DutyCalls(wanted.address, ConnectionPool()) if wanted else None
+        calls = DutyApiClient(wanted.address, ConnectionPool()) if wanted else None
         # Another machine of the same name is another holder.
         holder = f"{settings.host}@{settings.ip}"
         self.lease = DutyLeaseManager(store, "roles", holder, incarnation, bounds.lease, skipped)
@@ -60,7 +60,7 @@
             self._holds,
             freshness_monitor.requires_keys,
             true_time,
-            bounds.usage_window,
+            bounds.usage_window_seconds,
             parts.metrics,
         )
         self.capacity = CapacityDuty(
--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -22,7 +22,7 @@
     PlatformUnavailableError,
 )
 from swifttrestle.internal.coordination.entries import SkippedEntries
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.state.duties import (
     DutyLease,
     RecordedOrder,
@@ -251,7 +251,7 @@
 
     def _keep(self, lease: DutyLease, stored: StoredObject) -> None:
         if self.lease is None:
-            log_decision("lease taken", lease=self._name, token=lease.token)
+            log_event("lease taken", lease=self._name, token=lease.token)
         self.lease, self._stored = lease, stored
         self._former = None
         self._highest_token = max(self._highest_token, lease.token)
@@ -259,7 +259,7 @@
 
     def _lose(self, reason: str) -> bool:
         if self.lease is not None:
-            log_decision("lease lost", lease=self._name, reason=reason)
+            log_event("lease lost", lease=self._name, reason=reason)
             self._former = self.lease
         self.lease, self._stored = None, None
         return False
--- a/src/swifttrestle/internal/coordination/entries.py
+++ b/src/swifttrestle/internal/coordination/entries.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from swifttrestle.errors import BadEntryError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
-from swifttrestle.platform.objects import StoredObject, UnreadObject
+from swifttrestle.platform.objects import MalformedObject, StoredObject
 from swifttrestle.platform.records import UPSTREAM_KIND, read_upstream
 
 # Entries that are remembered as told of: each costs some 200 bytes, and a fleet of 10,000
@@ -38,7 +38,7 @@
         if len(self._told) > MOST_REMEMBERED:
             self._told.popitem(last=False)
         self._count(kind, error.field)
-        log_decision("entry skipped", kind=kind, name=name, field=error.field, reason=str(error))
+        log_event("entry skipped", kind=kind, name=name, field=error.field, reason=str(error))
 
     def clear(self, kind: str, name: str) -> None:
         """Note that an entry was taken: a wrong one after it is news again."""
@@ -55,9 +55,9 @@
         # The latest start that each listed instance told.
         self._born: dict[str, int] = {}
 
-    def read(self, item: StoredObject | UnreadObject) -> UpstreamRecord | None:
+    def read(self, item: StoredObject | MalformedObject) -> UpstreamRecord | None:
         """Return the record of an entry, or None where it names no instance to use."""
-        if isinstance(item, UnreadObject):
+        if isinstance(item, MalformedObject):
             self._skipped.skip(item.kind, item.name, item.error, item.content)
             return None
         try:
--- a/src/swifttrestle/internal/coordination/exchange.py
+++ b/src/swifttrestle/internal/coordination/exchange.py
@@ -4,7 +4,7 @@
 
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.protocol.copies import LARGEST_CONFIGURATION, pack_copy, unpack_copy
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
 
@@ -62,7 +62,7 @@
                 await self._read_copy(ip, content)
             self._configuration.take_copy(unpack_copy(bytes(content)), f"peer {host}")
         except (OSError, TimeoutError, FrameError) as error:
-            log_decision(
+            log_event(
                 "configuration not fetched", peer=host, reason=repr(error), bytes=len(content)
             )
 
@@ -88,7 +88,7 @@
             if asked == ASK_CONFIGURATION:
                 await self._write_copy(writer)
         except (OSError, TimeoutError, ValueError) as error:
-            log_decision("peer stream ended", reason=repr(error))
+            log_event("peer stream ended", reason=repr(error))
             writer.transport.abort()
         finally:
             writer.close()
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -14,7 +14,7 @@
 from swifttrestle.errors import BadEntryError, NotFoundError, PlatformUnavailableError
 from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.coordination.representatives import Representatives
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.revocation import is_fresh
 from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.protocol.freshness import (
@@ -144,7 +144,7 @@
             return True
         except (PlatformUnavailableError, NotFoundError, BadEntryError) as error:
             if self._was_young:
-                log_decision("configuration not confirmed", reason=type(error).__name__)
+                log_event("configuration not confirmed", reason=type(error).__name__)
             return False
 
     def _choose_hosts(self) -> list[Member]:
@@ -200,9 +200,7 @@
     def _log_change(self) -> None:
         young = self.is_fresh()
         if young is not self._was_young:
-            log_decision(
-                "keys confirmed" if young else "keys not confirmed", age=round(self.age, 2)
-            )
+            log_event("keys confirmed" if young else "keys not confirmed", age=round(self.age, 2))
         self._was_young = young
 
 
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -19,7 +19,7 @@
 from swifttrestle.internal.coordination.role_orders import RoleOrders
 from swifttrestle.internal.coordination.rosters import Rosters
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.protocol.gossip import PeerReport, pack_report, unpack_report
 from swifttrestle.internal.protocol.rosters import RosterSummary
 from swifttrestle.internal.state.declared import Role
@@ -378,7 +378,7 @@
     def _log_live(self) -> None:
         live = frozenset(self.live_hosts())
         if live != self._live:
-            log_decision(
+            log_event(
                 "live hosts", joined=sorted(live - self._live), lost=sorted(self._live - live)
             )
             self._live = live
--- a/src/swifttrestle/internal/coordination/leases.py
+++ b/src/swifttrestle/internal/coordination/leases.py
@@ -21,7 +21,7 @@
 from swifttrestle.internal.clock import Clock
 from swifttrestle.internal.coordination.conditional_writes import read_or_none, write_once
 from swifttrestle.internal.coordination.object_cache import ObjectCache
-from swifttrestle.internal.logs import log_change
+from swifttrestle.internal.logs import log_info
 from swifttrestle.internal.protocol.platform import ObjectApi, StoredObject
 
 LEASE = "Lease"
@@ -197,7 +197,7 @@
         left = replace(current, former=former)
         stored = write_once(self._api, LEASE, self.name, left.spec(), known.version)
         self._cache.apply_own_write(stored)
-        log_change("former holder stepped back", lease=self.name)
+        log_info("former holder stepped back", lease=self.name)
 
     def _version(self) -> int:
         return self._stored.version if self._stored else 0
@@ -214,14 +214,14 @@
     def _won(self) -> None:
         self._absent_since = None
         assert self.lease is not None
-        log_change("lease taken", lease=self.name, token=self.lease.token)
+        log_info("lease taken", lease=self.name, token=self.lease.token)
 
     def _lose(self, reason: str) -> None:
         self.lease = None
         self._stored = None
         self._valid_until = float("-inf")
         self._renew_at = float("-inf")
-        log_change("lease lost", lease=self.name, reason=reason)
+        log_info("lease lost", lease=self.name, reason=reason)
 
 
 def _is_over(holder: Holder, other: Holder) -> bool:
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -19,11 +19,11 @@
     PeerUnknownError,
     PlatformUnavailableError,
 )
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.clock import Clock
 from swifttrestle.internal.coordination.conditional_writes import read_or_none, update_object
 from swifttrestle.internal.coordination.object_cache import ObjectCache
-from swifttrestle.internal.logs import log_change, log_fault
+from swifttrestle.internal.logs import log_info, log_warning
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.peers import (
     CONTROLLER,
@@ -161,7 +161,7 @@
             if stored and stored.spec.get("incarnation") == self.identity.incarnation:
                 self._api.delete(MEMBER, self.identity.name, stored.version)
         except (PlatformUnavailableError, ConflictError):
-            log_fault("member object left behind")
+            log_warning("member object left behind")
         self._stopped.set()
         self.announce()
 
@@ -175,7 +175,7 @@
                 continue
             with contextlib.suppress(PlatformUnavailableError, ConflictError, NotFoundError):
                 self._api.delete(MEMBER, stored.name, stored.version)
-                log_change("member cleared away", member=stored.name, host=identity.host)
+                log_info("member cleared away", member=stored.name, host=identity.host)
 
     # Registration: before anything of the plans is read, so that a planner that writes its
     # order first and lists the members second cannot miss a process that misses the order.
@@ -224,7 +224,7 @@
         while not self._stopped.is_set() and address in self._choose_peers():
             try:
                 silence = self.silence + 1
-                stream = connect_stream(split_address(address), self._secret, silence)
+                stream = connect_stream(parse_address(address), self._secret, silence)
                 pause = FIRST_REDIAL
                 self._converse(stream)
             except (OSError, PeerUnknownError) as error:
@@ -304,7 +304,7 @@
                 return
             if old is None or old.identity.incarnation < message.identity.incarnation:
                 old = PeerView(message.identity, {}, {}, {}, 0.0)
-                log_change("peer heard", peer=name, incarnation=message.identity.incarnation)
+                log_info("peer heard", peer=name, incarnation=message.identity.incarnation)
             if message.leaving:
                 self._views.pop(name, None)
                 return
--- a/src/swifttrestle/internal/coordination/object_cache.py
+++ b/src/swifttrestle/internal/coordination/object_cache.py
@@ -11,7 +11,7 @@
 
 from swifttrestle.errors import NotFoundError, PlatformUnavailableError
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.logs import log_change, log_fault
+from swifttrestle.internal.logs import log_info, log_warning
 from swifttrestle.internal.policy.backoff import draw_backoff
 from swifttrestle.internal.protocol.platform import ObjectApi, StoredObject
 
@@ -79,7 +79,7 @@
                 self._watch(since)
             except (PlatformUnavailableError, NotFoundError) as error:
                 if self.connected:
-                    log_fault("object API lost", reason=str(error))
+                    log_warning("object API lost", reason=str(error))
                 self.connected = False
             failures += 1
             self._stopped.wait(
@@ -96,7 +96,7 @@
         self.listings += 1
         self.connected = True
         self.synced.set()
-        log_change("object API followed", since=since)
+        log_info("object API followed", since=since)
         return since or 0
 
     def _replace(self, kind: str, items: tuple[StoredObject, ...]) -> None:
--- a/src/swifttrestle/internal/coordination/pools.py
+++ b/src/swifttrestle/internal/coordination/pools.py
@@ -26,7 +26,7 @@
 from swifttrestle.internal.coordination.membership import MEMBER, Membership, read_member
 from swifttrestle.internal.coordination.object_cache import ObjectCache
 from swifttrestle.internal.coordination.orders import Order, OrderLog, Stage
-from swifttrestle.internal.logs import log_change, log_fault
+from swifttrestle.internal.logs import log_info, log_warning
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.roles import EngineLoad, RolePlanner
 from swifttrestle.internal.protocol.engine import (
@@ -102,7 +102,7 @@
                 self._step(upstream, config)
             self._plan_roles(mine, config)
         except (LeaseLostError, StaleTokenError) as error:
-            log_change("pool left", pool=self.name, reason=str(error))
+            log_info("pool left", pool=self.name, reason=str(error))
         except (PlatformUnavailableError, ConflictError) as error:
             # Planned changes wait for the platform; what is open stays written down.
             self._metrics.count("pool_waits_total", pool=self.name, reason=error.code.name)
@@ -219,7 +219,7 @@
         view.order = self._log.open(upstream.name, view.order, wanted)
         view.closing_since = self._clock.now()
         self._announce(view.order)
-        log_change("order opened", order=view.order.order_id, wanted=str(wanted.plain()))
+        log_info("order opened", order=view.order.order_id, wanted=str(wanted.plain()))
         self._advance(upstream, view, view.order)
 
     def _is_last_holding(self, upstream: Upstream, view: EngineView) -> bool:
@@ -296,7 +296,7 @@
         view.order = self._log.move(order, Stage.DROPPED)
         view.refused_until = self._clock.now() + SILENT_ENTRY_PATIENCE
         self._announce(view.order)
-        log_fault("order dropped", order=order.order_id, reason=view.reason)
+        log_warning("order dropped", order=order.order_id, reason=view.reason)
 
     def _settle_sent(self, upstream: Upstream, view: EngineView, order: Order) -> None:
         state = view.state
@@ -334,7 +334,7 @@
         view.reason = "as ordered"
         self._announce(view.order)
         self._metrics.count("orders_done_total", pool=self.name)
-        log_change("order done", order=order.order_id)
+        log_info("order done", order=order.order_id)
 
     def _send(
         self, view: EngineView, order_id: str, wanted: Holding | None, fence: int = 0
@@ -392,7 +392,7 @@
         if upstream.fencing == "ignored" and self.lease.lease and self.lease.lease.former:
             return
         held = view.state.holding
-        log_change("role planned", engine=change.engine, role=change.role, reason=change.reason)
+        log_info("role planned", engine=change.engine, role=change.role, reason=change.reason)
         self._metrics.count("role_changes_total", pool=self.name)
         wanted = Holding(held.model, held.version, held.adapters, change.role)
         self._start(upstream, view, wanted)
--- a/src/swifttrestle/internal/coordination/prompt_cache_loader.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from swifttrestle.errors import UpstreamError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.scheduling import find_scheduling_group
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Fleet, Instance
@@ -19,11 +19,11 @@
 from swifttrestle.internal.transport.pool import CallTimeouts, ConnectionPool, call_once
 from swifttrestle.internal.transport.upstream import OutgoingRequest
 from swifttrestle.platform.engine import (
-    KEPT_PARTS_PATH,
-    KeptParts,
-    is_other_start,
-    name_engine,
-    read_kept_parts,
+    CACHED_PARTS_PATH,
+    CachedParts,
+    build_engine_headers,
+    is_other_incarnation,
+    read_cached_parts,
 )
 
 # Seconds between two looks for the first listed engines.
@@ -83,20 +83,25 @@
     async def _load(self, engine: Instance) -> None:
         """Take over what one engine keeps; what it does not tell stays unknown."""
         request = OutgoingRequest(
-            b"GET", KEPT_PARTS_PATH, name_engine(engine.record.instance), Framing.NONE, 0, None
+            b"GET",
+            CACHED_PARTS_PATH,
+            build_engine_headers(engine.record.instance),
+            Framing.NONE,
+            0,
+            None,
         )
         try:
             head, content = await call_once(
                 self._pool, engine.name, engine.record.address, request, LARGEST_LIST, PATIENCE
             )
-            kept = read_kept_parts(content) if head.status == 200 else KeptParts(())
+            kept = read_cached_parts(content) if head.status == 200 else CachedParts(())
         except (UpstreamError, TimeoutError) as error:
-            log_decision("kept parts not told", engine=engine.name, reason=repr(error))
+            log_event("kept parts not told", engine=engine.name, reason=repr(error))
             return
-        if is_other_start(kept.born, engine.record.born):
-            log_decision("kept parts of another start", engine=engine.name, born=kept.born)
+        if is_other_incarnation(kept.born, engine.record.born):
+            log_event("kept parts of another start", engine=engine.name, born=kept.born)
             return
         parts = kept.parts
         for part in parts:
             self._fleet.note_prompt(SentPrompt(engine.name, (part,), read=True))
-        log_decision("kept parts told", engine=engine.name, parts=len(parts), status=head.status)
+        log_event("kept parts told", engine=engine.name, parts=len(parts), status=head.status)
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -13,7 +13,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Sequence
 
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.policy.hash_ring import HashRing
 from swifttrestle.internal.policy.quarantine import is_quarantined
@@ -90,7 +90,7 @@
             await asyncio.sleep(PUSH_SECONDS)
             now = _now()
             if now - before > PUSH_SECONDS + SLEPT_SECONDS:
-                log_decision("slept", seconds=round(now - before - PUSH_SECONDS, 2))
+                log_event("slept", seconds=round(now - before - PUSH_SECONDS, 2))
                 self.request_sync()
             if now >= expire_at:
                 self._guard.quarantine.expire(now)
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from swifttrestle.errors import BadEntryError, NotFoundError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_text, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer, check_text
 from swifttrestle.internal.coordination.entries import SkippedEntries
 from swifttrestle.internal.coordination.store_retry import retry_until_done
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.crash_guard import CrashGuard
 from swifttrestle.internal.policy.placement import rank
 from swifttrestle.internal.policy.quarantine import CRASH_RETENTION_SECONDS
@@ -90,7 +90,7 @@
             await self._store.create(QUARANTINE_KIND, QUARANTINE_NAME, spec)
         else:
             await self._store.replace(QUARANTINE_KIND, QUARANTINE_NAME, spec, known.revision)
-        log_decision("quarantine kept", requests=len(cases))
+        log_event("quarantine kept", requests=len(cases))
 
     async def _read(self) -> StoredObject | None:
         try:
@@ -149,7 +149,7 @@
 
 
 def _read_crash(raw: Any, now: float) -> Crash:
-    age = time.time() - check_whole(raw["at"], 0, LARGEST_SIGNED) / 1000
+    age = time.time() - check_integer(raw["at"], 0, MAX_INT64) / 1000
     # A clock of the platform's hosts may be ahead of this one's.
     return Crash(check_text(raw["start"]), now - min(max(age, 0.0), CRASH_RETENTION_SECONDS))
 
--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -31,8 +31,8 @@
     async def write_and_learn() -> None:
         await _write_record(store, me)
         snapshot = await store.list(PEER_KIND)
-        for unread in snapshot.unread:
-            skipped.skip(PEER_KIND, unread.name, unread.error, unread.content)
+        for malformed in snapshot.malformed:
+            skipped.skip(PEER_KIND, malformed.name, malformed.error, malformed.content)
         for item in snapshot.items:
             _learn_peer(item, peers, skipped)
 
--- a/src/swifttrestle/internal/coordination/removals.py
+++ b/src/swifttrestle/internal/coordination/removals.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from swifttrestle.internal.callbacks import ignore
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.callbacks import do_nothing
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.peers import NEVER
 from swifttrestle.internal.state.store_epochs import StoreRevision
@@ -52,7 +52,7 @@
         # Until when entries may be missing that the copy lacks from which the store came back.
         self._incomplete_until = NEVER
         # Called with an instance that is dropped.
-        self.note_dropped: Callable[[str], None] = ignore
+        self.note_dropped: Callable[[str], None] = do_nothing
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
@@ -99,9 +99,7 @@
             return
         if name not in self._held:
             seconds = round(until - now, 2)
-            log_decision(
-                "removal held back", instance=name, seconds=seconds, revision=str(revision)
-            )
+            log_event("removal held back", instance=name, seconds=seconds, revision=str(revision))
         self._held[name] = replace(held, until=min(until, held.until))
         self._look_later()
 
@@ -110,7 +108,7 @@
         if self._fleet.remove(name):
             self.note_dropped(name)
             seconds = round(self._now() - held.since, 2)
-            log_decision("instance gone", instance=name, revision=str(held.revision), held=seconds)
+            log_event("instance gone", instance=name, revision=str(held.revision), held=seconds)
 
     def _look_later(self) -> None:
         if self._timer is None:
--- a/src/swifttrestle/internal/coordination/restored_entries.py
+++ b/src/swifttrestle/internal/coordination/restored_entries.py
@@ -11,7 +11,7 @@
 from swifttrestle.internal.state.declared import UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.store_epochs import StoreRevision
-from swifttrestle.platform.objects import Snapshot, StoredObject, UnreadObject
+from swifttrestle.platform.objects import MalformedObject, Snapshot, StoredObject
 
 # Seconds for which a withdrawn instance is remembered: the oldest copy that a store comes back
 # from, and the time for which it may be away and this host not hear of it.
@@ -67,7 +67,7 @@
         return len(self._copied) < before
 
     def judge(
-        self, item: StoredObject | UnreadObject, record: UpstreamRecord
+        self, item: StoredObject | MalformedObject, record: UpstreamRecord
     ) -> UpstreamRecord | None:
         """Return what counts of an entry's record: None where it names no instance to use."""
         copied = self._copied.get(item.name)
--- a/src/swifttrestle/internal/coordination/role_orders.py
+++ b/src/swifttrestle/internal/coordination/role_orders.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Fleet
 
@@ -54,4 +54,4 @@
             try:
                 self.note(engine, Role(role), now + wait)
             except ValueError:
-                log_decision("role skipped", engine=engine, role=role, sender=sender)
+                log_event("role skipped", engine=engine, role=role, sender=sender)
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -12,7 +12,7 @@
 )
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.coordination.gossip import Gossip
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.ejection import Ejector
 from swifttrestle.internal.policy.role_delay import RoleChangeDelay
 from swifttrestle.internal.policy.role_split import RoleChange, plan_change
@@ -27,8 +27,8 @@
     REPORT_PATH,
     EngineReport,
     RoleOrder,
-    is_other_start,
-    name_engine,
+    build_engine_headers,
+    is_other_incarnation,
     read_report,
     write_order,
 )
@@ -107,7 +107,7 @@
                 # Should the lease still be this host's, the next write on it will show that.
                 self._candidates.holds_duty_lease = False
                 self._gossip.mark_store_unreachable(STORE_LOST_SECONDS)
-                log_decision("role planning waits", reason=str(error))
+                log_event("role planning waits", reason=str(error))
                 await asyncio.sleep(TICK_SECONDS)
 
     async def _tick(self) -> None:
@@ -219,7 +219,7 @@
         assert held is not None
         if now > until or engine.gone:
             reason = "its engine is gone" if engine.gone else "its time was over"
-            log_decision("order not sent", number=order.number, reason=reason)
+            log_event("order not sent", number=order.number, reason=reason)
             return
         sent = RoleOrder(change.role, held.holder, held.token, report.orders_taken)
         status = await self._send(engine, sent)
@@ -233,7 +233,7 @@
         elif status is not None:
             settle = REFUSED_SECONDS
         self._unsettled[engine.name] = (now + settle, change.role)
-        log_decision(
+        log_event(
             "role ordered",
             number=order.number,
             engine=engine.name,
@@ -245,7 +245,7 @@
         )
 
     async def _ask(self, engine: Instance) -> EngineReport | None:
-        headers = name_engine(engine.record.instance)
+        headers = build_engine_headers(engine.record.instance)
         request = OutgoingRequest(b"GET", REPORT_PATH, headers, Framing.NONE, 0, None)
         answer = await self._call(engine, request)
         if answer is None or answer[0] != 200:
@@ -253,18 +253,21 @@
         try:
             report = read_report(answer[1])
         except UpstreamBrokenError as error:
-            log_decision("report skipped", engine=engine.name, reason=str(error))
+            log_event("report skipped", engine=engine.name, reason=str(error))
             return None
-        if is_other_start(report.born, engine.record.born):
+        if is_other_incarnation(report.born, engine.record.born):
             # Its count of orders is not that of the start which the order would be meant for.
-            log_decision("report of another start", engine=engine.name, born=report.born)
+            log_event("report of another start", engine=engine.name, born=report.born)
             return None
         return report
 
     async def _send(self, engine: Instance, order: RoleOrder) -> int | None:
         content = write_order(order)
         body = Body.from_bytes(content)
-        headers = [*name_engine(engine.record.instance), (b"Content-Type", b"application/json")]
+        headers = [
+            *build_engine_headers(engine.record.instance),
+            (b"Content-Type", b"application/json"),
+        ]
         request = OutgoingRequest(b"POST", ORDER_PATH, headers, Framing.LENGTH, len(content), body)
         answer = await self._call(engine, request)
         return answer[0] if answer else None
@@ -277,5 +280,5 @@
                 )
                 return head.status, content
         except (UpstreamBrokenError, TimeoutError) as error:
-            log_decision("engine not reached", engine=engine.name, reason=repr(error))
+            log_event("engine not reached", engine=engine.name, reason=repr(error))
             return None
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.protocol.rosters import (
     Roster,
     RosterConfirmation,
@@ -246,7 +246,7 @@
         self._known[part.digest] = roster
         self._confirmed_at[part.digest] = now
         self._peers.note_reported(roster.members, self._asked.pop(part.digest).true_at, now)
-        log_decision("roster learned", zone=roster.zone, hosts=len(roster.members))
+        log_event("roster learned", zone=roster.zone, hosts=len(roster.members))
 
     def _send(self, message: RosterMessage, ip: str) -> None:
         self._socket.send(ip, DatagramKind.ROSTER, pack_roster_message(message))
--- a/src/swifttrestle/internal/coordination/store_retry.py
+++ b/src/swifttrestle/internal/coordination/store_retry.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 
 from swifttrestle.errors import ConflictError, PlatformUnavailableError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 
 # Least seconds between two tries, and the most that chance adds to them: a store that comes back
 # must not meet all hosts at once.
@@ -21,5 +21,5 @@
             await act()
             return
         except (PlatformUnavailableError, ConflictError) as error:
-            log_decision(event, reason=str(error))
+            log_event(event, reason=str(error))
             await asyncio.sleep(RETRY_SECONDS * (1 + rng.random()))
--- a/src/swifttrestle/internal/coordination/usage.py
+++ b/src/swifttrestle/internal/coordination/usage.py
@@ -7,7 +7,7 @@
 
 from swifttrestle.errors import LeaseLostError
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.usage_windows import (
     list_due_windows,
@@ -20,7 +20,7 @@
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.usage import KEPT_WINDOWS, UsageMeter, find_window
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
-from swifttrestle.platform.duties import Authority, CallOutcome, DutyCalls
+from swifttrestle.platform.duties import CallOutcome, DutyApiClient, LeaseCredentials
 
 # Seconds between two words of a host on what it has counted; each word repeats the one before.
 TELL_SECONDS = 1.0
@@ -39,7 +39,7 @@
         source: str,
         socket: PeerSocket,
         lease: DutyLeaseManager,
-        calls: DutyCalls | None,
+        calls: DutyApiClient | None,
         list_collectors: Callable[[], Sequence[Member]],
         holds_duties: Callable[[], bool],
         has_workspaces: Callable[[], bool],
@@ -84,7 +84,7 @@
                 try:
                     await self._report(self._calls)
                 except LeaseLostError as error:
-                    log_decision("usage reports wait", reason=str(error))
+                    log_event("usage reports wait", reason=str(error))
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the windows that are written down, and those that are counted here, oldest first.
@@ -131,7 +131,7 @@
 
     # Reporting.
 
-    async def _report(self, calls: DutyCalls) -> None:
+    async def _report(self, calls: DutyApiClient) -> None:
         lease = self._lease.lease
         assert lease is not None
         counted = self._list_counted(lease)
@@ -150,7 +150,7 @@
             self._lease.lease.usage if self._lease.lease else ()
         ):
             if _now() > until:
-                log_decision("usage not sent", window=report.window, reason="its time was over")
+                log_event("usage not sent", window=report.window, reason="its time was over")
                 return
             await self._send(calls, report)
 
@@ -165,7 +165,7 @@
             counts = self.meter.sum_with_draft(window, drafts.get(window))
             doubtful = self._is_doubtful(window)
             if doubtful:
-                log_decision("usage left out", window=window, reason="it may have been reported")
+                log_event("usage left out", window=window, reason="it may have been reported")
             lease = lease.with_usage(RecordedUsage(window, counts, taken=doubtful))
         return self._add_drafts(lease)
 
@@ -187,15 +187,15 @@
             drafts.append(UsageDraft(window, counts, tuple(sorted(sources))))
         return replace(lease, drafts=tuple(drafts))
 
-    async def _send(self, calls: DutyCalls, report: RecordedUsage) -> None:
+    async def _send(self, calls: DutyApiClient, report: RecordedUsage) -> None:
         lease = self._lease.lease
         if lease is None:
             return
         outcome = await calls.report_usage(
-            Authority(lease.holder, lease.token), report.window, report.counts
+            LeaseCredentials(lease.holder, lease.token), report.window, report.counts
         )
         self._metrics.count("usage_reports_total", outcome=outcome.value)
-        log_decision(
+        log_event(
             "usage reported",
             window=report.window,
             requests=sum(report.counts.values()),
--- a/src/swifttrestle/internal/entry/attempts.py
+++ b/src/swifttrestle/internal/entry/attempts.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from swifttrestle.errors import UpstreamBrokenError, UpstreamError, UpstreamLeavingError
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 from swifttrestle.internal.entry.crash_guard import EntryCrashGuard
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.routing import Candidate, RequestEstimate, Router
@@ -101,7 +101,7 @@
         Raises UpstreamError, after which the request is not counted on the engine any more.
         """
         name = target.candidate.name
-        began = read_seconds()
+        began = read_boottime_seconds()
         try:
             address = self._table.address(name)
             pinned = replace(call, version=call.version or self._table.version(name))
@@ -120,9 +120,9 @@
             self._table.end(name)
             raise
         before = target.candidate.waiting_tokens + target.uncached
-        self._table.note_first_token(name, before, read_seconds() - began)
+        self._table.note_first_token(name, before, read_boottime_seconds() - began)
         self._table.prefixes.note_stored(target.candidate.prefill_engine or name, selection.blocks)
-        return Attempt(name, address, pinned, stream, selection, work, read_seconds())
+        return Attempt(name, address, pinned, stream, selection, work, read_boottime_seconds())
 
     def _prefill(self, engine: str, call: EngineCall) -> dict[str, str]:
         """Have another engine prefill; it is counted on that engine meanwhile."""
@@ -153,7 +153,7 @@
         if failed:
             self._table.note_failure(attempt.upstream)
         else:
-            seconds = read_seconds() - attempt.began
+            seconds = read_boottime_seconds() - attempt.began
             self._table.note_decode(attempt.upstream, tokens, seconds)
         if last_on_closed:
             self.ended.set()
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -10,9 +10,9 @@
 
 from swifttrestle.codes import Code
 from swifttrestle.errors import RefusedError, UpstreamBrokenError, UpstreamError
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.logs import log_change
+from swifttrestle.internal.logs import log_info
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import Quarantine
 from swifttrestle.internal.state.crash_records import Crash
@@ -78,7 +78,7 @@
             news = name is not None and self._quarantine.note(name, [Crash(upstream, now)], now)
         if news:
             self._metrics.count("upstream_crashes_total")
-            log_change("upstream crashed under a request", upstream=upstream, name=str(name))
+            log_info("upstream crashed under a request", upstream=upstream, name=str(name))
 
     def end(self, request_id: str, answered: bool) -> None:
         """Forget the id; where the request was answered, also what was held against it."""
@@ -105,7 +105,7 @@
 
 def _is_refused_now(address: str) -> bool:
     try:
-        socket.create_connection(split_address(address), LOOK_SECONDS).close()
+        socket.create_connection(parse_address(address), LOOK_SECONDS).close()
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/src/swifttrestle/internal/entry/idempotency.py
+++ b/src/swifttrestle/internal/entry/idempotency.py
@@ -19,7 +19,7 @@
     PlatformUnavailableError,
     RefusedError,
 )
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 from swifttrestle.internal.coordination.conditional_writes import write_once
 from swifttrestle.internal.protocol.platform import ObjectApi
 from swifttrestle.resources import Service
@@ -57,7 +57,7 @@
             raise
 
     def _claim_here(self, key: str) -> None:
-        now = read_seconds()
+        now = read_boottime_seconds()
         with self._lock:
             while self._taken:
                 oldest, at = next(iter(self._taken.items()))
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -17,7 +17,7 @@
     UpstreamBrokenError,
     UpstreamError,
 )
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 from swifttrestle.internal.entry.answers import CallerAnswer
 from swifttrestle.internal.entry.attempts import Attempt, Attempts
 from swifttrestle.internal.metrics import Metrics
@@ -125,9 +125,9 @@
         if not self._repeatable:
             self._fail(Code.STREAM_BROKEN if self._checker.offset else Code.ANSWER_LOST, error)
             return
-        give_up = read_seconds() + RESUME_SECONDS
+        give_up = read_boottime_seconds() + RESUME_SECONDS
         failed = list(self._failed)
-        while read_seconds() < give_up:
+        while read_boottime_seconds() < give_up:
             try:
                 # Without this look one request took one engine after another for 20 s.
                 guard.check(attempt.call.request_id)
--- a/src/swifttrestle/internal/entry/serving.py
+++ b/src/swifttrestle/internal/entry/serving.py
@@ -8,7 +8,7 @@
 
 from swifttrestle.codes import TABLE, Code
 from swifttrestle.errors import CallerGoneError, RefusedError, UpstreamBusyError, UpstreamError
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 from swifttrestle.internal.entry.answers import (
     CallerAnswer,
     make_error_body,
@@ -162,7 +162,7 @@
     # Completions.
 
     def _complete(self, exchange: Exchange, chat: bool) -> bool:
-        started = read_seconds()
+        started = read_boottime_seconds()
         workspace = self._find_workspace(exchange)
         body = exchange.read_body()
         asked = read_completion(body, chat)
@@ -217,7 +217,7 @@
 
         def try_open(target: Target, number: int) -> Attempt:
             numbered = EngineCall(**{**vars(call), "attempt": number})
-            left = terms.left(read_seconds())
+            left = terms.left(read_boottime_seconds())
             return self._attempts.open(target, numbered, selection, work, left)
 
         return self._try(call.request_id, selection, work, terms, try_open)
@@ -232,7 +232,7 @@
     ) -> T:
         """Make attempts within the deadline, the budget and what may be repeated."""
         policy = self._config.current.policy
-        self._budget.note_request(read_seconds())
+        self._budget.note_request(read_boottime_seconds())
         failed: list[str] = []
         lost: UpstreamError | None = None
         number = 0
@@ -249,7 +249,7 @@
                 failed.append(target.candidate.name)
                 lost = error if error.sent else lost
                 last = number >= policy.attempts or (lost and not terms.repeatable)
-                if last or not self._budget.take(read_seconds()):
+                if last or not self._budget.take(read_boottime_seconds()):
                     raise _temper(_make_final(error), lost) from None
                 self._metrics.count("retries_total", reason=error.code.name)
 
@@ -288,7 +288,7 @@
         def done(error: RefusedError | CallerGoneError | None) -> None:
             self._guard.end(request_id, answered=error is None)
             outcome = "whole" if error is None else error.code.name
-            in_time = "yes" if terms.left(read_seconds()) >= 0 else "no"
+            in_time = "yes" if terms.left(read_boottime_seconds()) >= 0 else "no"
             self._metrics.count(
                 "ended_total", service=service.name, outcome=outcome, in_time=in_time
             )
@@ -300,7 +300,7 @@
     # Plain services.
 
     def _call_service(self, exchange: Exchange, name: str, path: str) -> None:
-        started = read_seconds()
+        started = read_boottime_seconds()
         workspace = self._find_workspace(exchange)
         service = self._find_service(name, "plain", workspace)
         body = exchange.read_body()
@@ -310,7 +310,7 @@
         work = RequestEstimate(1, 1, terms.priority)
 
         def try_call(target: Target, number: int) -> PlainAnswer:
-            left = max(0.05, terms.left(read_seconds()))
+            left = max(0.05, terms.left(read_boottime_seconds()))
             headers = {"X-Request-Id": terms.caller_id or request_id}
             headers["X-Attempt"] = str(number)
             upstream = target.candidate.name
--- a/src/swifttrestle/internal/event_log.py
+++ b/src/swifttrestle/internal/event_log.py
@@ -79,6 +79,6 @@
 WRITER = LineWriter(sys.stdout.fileno() if sys.stdout else 1)
 
 
-def log_decision(event: str, **fields: object) -> None:
+def log_event(event: str, **fields: object) -> None:
     """Log one decision, or one change of what this host believes."""
     WRITER.put(event, fields)
--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -18,9 +18,9 @@
 from swifttrestle.internal.transport.pool import ConnectionPool
 from swifttrestle.internal.transport.upstream import OutgoingRequest, UpstreamConnection
 from swifttrestle.platform.wire import (
-    Forwarding,
+    ForwardingHeaders,
     build_forward_headers,
-    read_answer_facts,
+    read_response_metadata,
     strip_answer_headers,
 )
 
@@ -38,12 +38,12 @@
     """How one attempt is made; `patience` bounds the wait for the answer's head, in seconds."""
 
     instance: Instance
-    forwarding: Forwarding
+    forwarding: ForwardingHeaders
     patience: float
     retry_failure: bool = False
 
 
-def build_request(ctx: Context, forwarding: Forwarding) -> OutgoingRequest:
+def build_request(ctx: Context, forwarding: ForwardingHeaders) -> OutgoingRequest:
     """Return the request as it goes to an upstream."""
     head = ctx.request.head
     return OutgoingRequest(
@@ -69,7 +69,7 @@
             head, body = await connection.exchange(build_request(ctx, plan.forwarding))
     except TimeoutError:
         raise UpstreamSilentError("no answer in time") from None
-    facts = read_answer_facts(head.status, head.headers, plan.instance.record.instance)
+    facts = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
     # An engine that turns a request away may do so before it has read the id.
     if facts.request_id != ctx.facts.request_id and not (facts.not_run and not facts.request_id):
         raise CrossedAnswerError("the answer names another request", sent=True)
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable, Iterable
 
 from swifttrestle.errors import UpstreamHeldError
-from swifttrestle.internal.callbacks import ignore
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.callbacks import do_nothing
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.state.backpressure import Backpressure
 from swifttrestle.internal.state.fleet import Fleet, Instance
 from swifttrestle.internal.state.upstream_conditions import NEVER, RateLimit, UpstreamCondition
 from swifttrestle.internal.transport.messages import ResponseHead
 from swifttrestle.platform.backpressure import read_backpressure
-from swifttrestle.platform.wire import is_of_instance, names_request
+from swifttrestle.platform.wire import has_request_id, is_from_instance
 
 # The source of a word that this host heard itself.
 OWN = "own"
@@ -38,11 +38,11 @@
         self._conditions: dict[str, UpstreamCondition] = defaultdict(UpstreamCondition)
         fleet.announced_leaving = self.is_leaving
         # Called with a start whose limit this host has heard to be another one.
-        self.announce_limit: Callable[[str, RateLimit], None] = ignore
+        self.announce_limit: Callable[[str, RateLimit], None] = do_nothing
         # Called with a start that has told this host that it leaves.
-        self.announce_leaving: Callable[[str], None] = ignore
+        self.announce_leaving: Callable[[str], None] = do_nothing
         # Called when an upstream that was held back may take work again.
-        self.on_room: Callable[[], None] = ignore
+        self.on_room: Callable[[], None] = do_nothing
 
     # Asking.
 
@@ -75,7 +75,7 @@
     def record_answer(self, start: str, head: ResponseHead, sent_at: float) -> None:
         """Take over what an answer says; its request was sent at the loop's time `sent_at`."""
         instance = self._fleet.instances.get(start)
-        if instance is not None and not is_of_instance(
+        if instance is not None and not is_from_instance(
             head.status, head.headers, instance.record.instance
         ):
             # Another one has its address now and speaks for itself.
@@ -102,7 +102,7 @@
             return False
         self._conditions[start].leaving = True
         self._fleet.note_leaving(start)
-        log_decision("upstream says that it leaves", instance=start, source=source)
+        log_event("upstream says that it leaves", instance=start, source=source)
         return True
 
     def apply_rate_limit(self, start: str, rate_limit: RateLimit, source: str) -> bool:
@@ -116,7 +116,7 @@
         if not _differs(rate_limit.rate, before.rate):
             return False
         condition.lift_denials()
-        log_decision("upstream limit", instance=start, rate=rate_limit.rate, source=source)
+        log_event("upstream limit", instance=start, rate=rate_limit.rate, source=source)
         self.on_room()
         return True
 
@@ -183,13 +183,13 @@
         condition = self._conditions[start]
         if words != condition.unreadable:
             condition.unreadable = words
-            log_decision("upstream word not read", instance=start, words=words)
+            log_event("upstream word not read", instance=start, words=words)
 
     def _hear_rest(self, start: str, seconds: float | None) -> None:
         now = _now()
         condition = self._conditions[start]
         if condition.rest_until <= now:
-            log_decision("upstream asks for rest", instance=start, seconds=seconds)
+            log_event("upstream asks for rest", instance=start, seconds=seconds)
         self._metrics.count("upstream_rests_total")
         rest = UNKNOWN_REST_SECONDS if seconds is None else min(seconds, LONGEST_REST_SECONDS)
         # Each request that it refuses in that time costs its service a repeat.
@@ -210,7 +210,7 @@
     Others may have been on their way when the limit was named, and calls of the system itself may
     be answered without it.
     """
-    return rate_limit.rate is not None and sent_at > rate_limit.at and names_request(head.headers)
+    return rate_limit.rate is not None and sent_at > rate_limit.at and has_request_id(head.headers)
 
 
 def _now() -> float:
--- a/src/swifttrestle/internal/forward/context.py
+++ b/src/swifttrestle/internal/forward/context.py
@@ -17,7 +17,7 @@
 )
 from swifttrestle.internal.transport.caller import IncomingRequest, ResponseWriter
 from swifttrestle.internal.transport.messages import Header
-from swifttrestle.platform.wire import RequestFacts
+from swifttrestle.platform.wire import RequestMetadata
 
 
 @dataclass
@@ -31,7 +31,7 @@
 
     request: IncomingRequest
     reply: ResponseWriter
-    facts: RequestFacts
+    facts: RequestMetadata
     headers: list[Header]
     route: Route
     service: ServiceDeclaration
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -5,8 +5,8 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Collection, Sequence
 
 from swifttrestle.codes import Code
-from swifttrestle.internal.callbacks import ignore
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.callbacks import do_nothing
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.crashes import CrashWatch
 from swifttrestle.internal.metrics import Metrics
@@ -43,8 +43,8 @@
         # Asks whether a quarantined request may be tried now; returns 0, or the seconds to wait.
         self.request_trial: Callable[[RequestFingerprint], Awaitable[float]] = _allow_trial
         # Called with what this host found out: peers need it before the next attempt.
-        self.announce_crash_records: Teller = ignore
-        self.announce_clearance: AcquittalTeller = ignore
+        self.announce_crash_records: Teller = do_nothing
+        self.announce_clearance: AcquittalTeller = do_nothing
 
     async def check(self, ctx: Context) -> RequestFingerprint | None:
         """Return a request's name if something is held against it.
@@ -149,7 +149,7 @@
         """Take over that a request got its own answer; return whether that was news."""
         if not self.quarantine.clear_crashes(name, at):
             return False
-        log_decision("request acquitted", name=str(name), source=source)
+        log_event("request acquitted", name=str(name), source=source)
         return True
 
     def _find_all(self, names: Sequence[RequestFingerprint]) -> list[CrashRecord]:
@@ -182,7 +182,7 @@
             return False
         case = self.quarantine.find(name)
         if case is not None and is_quarantined(case):
-            log_decision(
+            log_event(
                 "request quarantined",
                 name=str(name),
                 source=source,
--- a/src/swifttrestle/internal/forward/crashes.py
+++ b/src/swifttrestle/internal/forward/crashes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 from swifttrestle.errors import UpstreamUnreachedError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle.internal.transport.pool import ConnectionPool
@@ -161,7 +161,7 @@
         names = list({item.name: None for item in open_then})
         if not names:
             return
-        log_decision(
+        log_event(
             "upstream crashed",
             instance=instance.name,
             source=source,
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -34,8 +34,8 @@
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.prompt_cache import PromptPart
-from swifttrestle.platform.engine import KvHandle, name_handle_source
-from swifttrestle.platform.wire import Forwarding
+from swifttrestle.platform.engine import KvHandle, format_kv_source
+from swifttrestle.platform.wire import ForwardingHeaders
 
 # Prompt readings of one request, the first included, and attempts to make its tokens.
 MOST_READS = 2
@@ -192,7 +192,7 @@
         if booking.reader.replaced:
             # What its former start kept is gone: the engine that makes the tokens reads all itself.
             handle = None
-        source = name_handle_source(booking.reader.record.address, handle) if handle else ""
+        source = format_kv_source(booking.reader.record.address, handle) if handle else ""
         fetch_from = find_source_address(booking) if booking.direct else None
         try:
             decoder = self._confirm_decoder(ctx, booking.decoder)
@@ -274,7 +274,7 @@
         max_wait = ctx.left
         if ctx.repeatable and ctx.runs + 1 < ctx.route.max_attempts:
             max_wait *= FIRST_TOKEN_SHARE
-        added = Forwarding(
+        added = ForwardingHeaders(
             decoder.record.instance,
             ctx.left,
             ctx.priority,
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -14,7 +14,7 @@
     UpstreamSilentError,
     UpstreamUnreachedError,
 )
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.conditions import UpstreamConditionTable
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.crash_guard import CrashGuard
@@ -177,14 +177,14 @@
         if self.fleet.instances.get(instance.name) is instance:
             self.fleet.remove(instance.record.instance)
         self.pool.forget(instance.name)
-        log_decision("instance replaced", instance=instance.name, source="its address")
+        log_event("instance replaced", instance=instance.name, source="its address")
 
     def _end_start(self, former: Instance) -> None:
         """End what is open at a start that a later one has replaced.
 
         A host that lost power says nothing: without this a request there waits for its deadline.
         """
-        log_decision("instance started anew", former=former.name)
+        log_event("instance started anew", former=former.name)
         loop = asyncio.get_running_loop()
         loop.call_later(LAST_BYTES_SECONDS, self._break_off, former)
 
@@ -227,7 +227,7 @@
         """Count a failure of an instance; it may be left out from now on."""
         group = [item.name for item in self.fleet.list_service(instance.record.service)]
         if self.ejector.note_failure(instance.name, group, now, weight):
-            log_decision("instance left out", instance=instance.name, reason=reason)
+            log_event("instance left out", instance=instance.name, reason=reason)
 
 
 def weigh_failure(error: UpstreamError) -> int:
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -7,7 +7,7 @@
 
 from swifttrestle.codes import TABLE, Code, Ran
 from swifttrestle.errors import CallerGoneError, RefusedError, SwifttrestleError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.engines import EngineForwarder
@@ -25,8 +25,8 @@
 from swifttrestle.platform.wire import (
     REQUEST_ID,
     find_keys,
-    name_workspace,
-    read_facts,
+    read_request_metadata,
+    set_workspace_header,
     strip_request_headers,
     write_request_id,
 )
@@ -109,7 +109,7 @@
         route = self._find_route(table, request.head)
         self._check_time_to_end(route, request.received)
         workspace = self._find_workspace(table, route, request)
-        facts = read_facts(request.head.headers)
+        facts = read_request_metadata(request.head.headers)
         service = table.configuration.services.get(pick_service(route, self._state.rng))
         if service is None:
             raise RefusedError(Code.UNKNOWN_SERVICE, f"route {route.name} has no service")
@@ -166,7 +166,7 @@
         stripped = strip_request_headers(head.headers)
         if table.keys is None:
             return stripped
-        return name_workspace(stripped, workspace.name if workspace else None)
+        return set_workspace_header(stripped, workspace.name if workspace else None)
 
     def _check_time_to_end(self, route: Route, now: float) -> None:
         """Refuse what may outlast this process: another host can answer it whole."""
@@ -223,7 +223,7 @@
         )
         if ctx is not None and ctx.first_byte is not None:
             metrics.observe("gateway_first_byte_seconds", ctx.first_byte, kind=kind)
-        log_decision(
+        log_event(
             "request",
             id=request.head.find(REQUEST_ID).decode("latin-1"),
             route=route,
--- a/src/swifttrestle/internal/forward/plain.py
+++ b/src/swifttrestle/internal/forward/plain.py
@@ -18,7 +18,7 @@
 from swifttrestle.internal.policy.placement import pick_plain
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance, OpenWork
-from swifttrestle.platform.wire import Forwarding
+from swifttrestle.platform.wire import ForwardingHeaders
 
 # A silent first attempt of a repeatable request ends at this share of what is left, so that
 # a second one still has time.
@@ -100,7 +100,10 @@
         now = asyncio.get_running_loop().time()
         again = not last and self._state.budgets.find(ctx.service.name).allows(now)
         plan = AttemptPlan(
-            instance, Forwarding(instance.record.instance, ctx.left), patience, retry_failure=again
+            instance,
+            ForwardingHeaders(instance.record.instance, ctx.left),
+            patience,
+            retry_failure=again,
         )
         relay = EventRelay(ctx.route.resumable, patience) if ctx.route.streaming else None
         instance.own = instance.own.plus(ONE)
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from swifttrestle.errors import UpstreamHeldError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.conditions import UpstreamConditionTable
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.policy.rate_limits import (
@@ -223,7 +223,7 @@
             if answer is not None:
                 return answer
         self._silent_until[keeper.host] = _now() + SILENT_SECONDS
-        log_decision("keeper of a limit silent", keeper=keeper.host)
+        log_event("keeper of a limit silent", keeper=keeper.host)
         return None
 
     async def _ask(
--- a/src/swifttrestle/internal/forward/reading.py
+++ b/src/swifttrestle/internal/forward/reading.py
@@ -11,7 +11,7 @@
     UpstreamLeavingError,
     UpstreamSilentError,
 )
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.attempt import build_request
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
@@ -21,8 +21,13 @@
 from swifttrestle.internal.transport.messages import Framing
 from swifttrestle.internal.transport.pool import call_once
 from swifttrestle.internal.transport.upstream import OutgoingRequest
-from swifttrestle.platform.engine import KvHandle, handle_path, name_engine, read_handle
-from swifttrestle.platform.wire import Forwarding, read_answer_facts
+from swifttrestle.platform.engine import (
+    KvHandle,
+    build_engine_headers,
+    build_handle_path,
+    read_handle,
+)
+from swifttrestle.platform.wire import ForwardingHeaders, read_response_metadata
 
 # An engine that has not read a prompt after this many times the predicted time is given up
 # on; no sooner than LEAST_READ_SECONDS.
@@ -135,7 +140,7 @@
 
     async def _call(self, ctx: Context, booking: Booking, limit: float) -> KvHandle:
         reader = booking.reader
-        added = Forwarding(
+        added = ForwardingHeaders(
             reader.record.instance,
             ctx.left,
             ctx.priority,
@@ -153,7 +158,7 @@
                 )
         except TimeoutError:
             raise UpstreamSilentError("the prompt was not read in time") from None
-        facts = read_answer_facts(head.status, head.headers, reader.record.instance)
+        facts = read_response_metadata(head.status, head.headers, reader.record.instance)
         if facts.not_run:
             if facts.replaced:
                 raise UpstreamLeavingError(f"{reader.name} takes no prompts at its address")
@@ -165,8 +170,8 @@
     async def _call_free(self, reader: Instance, handle: KvHandle) -> None:
         request = OutgoingRequest(
             b"DELETE",
-            handle_path(handle),
-            name_engine(reader.record.instance),
+            build_handle_path(handle),
+            build_engine_headers(reader.record.instance),
             Framing.NONE,
             0,
             None,
@@ -182,7 +187,7 @@
                         SMALL_ANSWER_BYTES,
                     )
             except UpstreamBrokenError as error:
-                log_decision("handle not freed", engine=reader.name, reason=str(error))
+                log_event("handle not freed", engine=reader.name, reason=str(error))
 
 
 def find_source_address(booking: Booking) -> tuple[str, int] | None:
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, replace
 
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.booking import Booker, LocalBooker
 from swifttrestle.internal.forward.gateway_state import GatewayState
 from swifttrestle.internal.forward.scheduler import Scheduler
@@ -90,13 +90,14 @@
         socket: PeerSocket,
         host: str,
         list_members: Callable[[], Sequence[Member]],
-        is_near: Callable[[str], bool] = lambda zone: True,
+        is_in_same_region: Callable[[str], bool] = lambda zone: True,
     ) -> None:
         """Book by `local` wherever no other host schedules.
 
-        `is_near` tells whether a zone is in this host's region: prompts have their homes there.
+        `is_in_same_region` tells whether a zone is in this host's region: prompts have their homes
+        there.
         """
-        self._is_near = is_near
+        self._is_near = is_in_same_region
         self._local = local
         self._state = parts
         self._socket = socket
@@ -193,7 +194,7 @@
         decoder = self._state.fleet.instances.get(grant.decoder)
         # The scheduler's list may be older than this host's, where it cannot reach the store.
         if any(engine is None or engine.record.leaving for engine in (reader, decoder)):
-            log_decision("booking not used", reader=grant.reader, decoder=grant.decoder)
+            log_event("booking not used", reader=grant.reader, decoder=grant.decoder)
             return None
         assert reader is not None and decoder is not None
         reference = BookingReference(scheduler.host, grant.number, scheduler.ip)
@@ -274,7 +275,7 @@
     def _note_silent(self, scheduler: Member) -> None:
         """Count a missing answer; leave the scheduler alone for a while after some in a row."""
         silences = self._silences.get(scheduler.host, 0) + 1
-        log_decision("scheduler silent", scheduler=scheduler.host, in_a_row=silences)
+        log_event("scheduler silent", scheduler=scheduler.host, in_a_row=silences)
         if silences >= SILENCES_TO_PAUSE:
             self._silent_until[scheduler.host] = _now() + SILENT_SECONDS
             silences = 0
--- a/src/swifttrestle/internal/logs.py
+++ b/src/swifttrestle/internal/logs.py
@@ -18,12 +18,12 @@
         logger.add(sys.stderr, level=level, format=_format_text, colorize=False)  # type: ignore[arg-type]
 
 
-def log_change(event: str, **fields: object) -> None:
+def log_info(event: str, **fields: object) -> None:
     """Log one change of state with its fields."""
     logger.bind(**fields).info(event)
 
 
-def log_fault(event: str, **fields: object) -> None:
+def log_warning(event: str, **fields: object) -> None:
     """Log one fault that an operator should look at."""
     logger.bind(**fields).warning(event)
 
--- a/src/swifttrestle/internal/loop.py
+++ b/src/swifttrestle/internal/loop.py
@@ -4,7 +4,7 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 
 T = TypeVar("T")
 
@@ -14,7 +14,7 @@
 
     def time(self) -> float:
         """Return the loop's time in seconds."""
-        return read_seconds()
+        return read_boottime_seconds()
 
 
 def run_in_loop(work: Coroutine[Any, Any, T]) -> T:
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -9,7 +9,7 @@
 import orjson
 
 from swifttrestle.errors import InvalidSettingError, SwifttrestleError
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.clock import MonotonicClock
 from swifttrestle.internal.coordination.membership import (
     MEMBER,
@@ -19,7 +19,7 @@
     choose_incarnation,
 )
 from swifttrestle.internal.coordination.object_cache import ObjectCache
-from swifttrestle.internal.logs import log_change, setup_logs
+from swifttrestle.internal.logs import log_info, setup_logs
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.peers import Identity
 from swifttrestle.internal.protocol.platform import RestObjectApi, StoredObject
@@ -58,7 +58,7 @@
         self.closings = closings
         self.stopping = threading.Event()
         self.api = RestObjectApi(settings.platform, settings.name, settings.platform_key)
-        self._listener = bind_listener(split_address(settings.peer_listen))
+        self._listener = bind_listener(parse_address(settings.peer_listen))
         host, port = self._listener.getsockname()[:2]
         self.identity = Identity(
             settings.name,
@@ -85,7 +85,7 @@
             seeds=settings.seeds,
         )
         self._ops_handler = OpsHandler(self)
-        self.ops = make_server(split_address(settings.ops_listen), self._ops_handler, OPS_THREADS)
+        self.ops = make_server(parse_address(settings.ops_listen), self._ops_handler, OPS_THREADS)
 
     def add_dump(self, name: str, read: Callable[[], Any]) -> None:
         """Add one part to the dump of this process's state."""
@@ -105,14 +105,14 @@
         line = orjson.dumps({"ready": self.settings.name, **addresses}).decode()
         sys.stdout.write(line + "\n")
         sys.stdout.flush()
-        log_change("started", incarnation=self.identity.incarnation, **addresses)
+        log_info("started", incarnation=self.identity.incarnation, **addresses)
         wait_until_stopped(self.stopping)
-        log_change("stopping")
+        log_info("stopping")
         stop()
         self.membership.stop()
         self.cache.stop()
         self.ops.stop()
-        log_change("stopped")
+        log_info("stopped")
 
     def _take_accepted(self, item: StoredObject, deleted: bool) -> None:
         if item.kind != ACCEPTED or deleted:
--- a/src/swifttrestle/internal/protocol/calls.py
+++ b/src/swifttrestle/internal/protocol/calls.py
@@ -18,7 +18,7 @@
     UpstreamError,
     UpstreamLeavingError,
 )
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 
 READ_BYTES = 65536
 ANSWER_LIMIT = 16_000_000
@@ -168,7 +168,7 @@
 
 
 def _connect(kind: type[HTTPConnection], address: str, seconds: float) -> HTTPConnection:
-    host, port = split_address(address)
+    host, port = parse_address(address)
     connection = kind(host, port, timeout=seconds)
     try:
         connection.connect()
--- a/src/swifttrestle/internal/protocol/freshness.py
+++ b/src/swifttrestle/internal/protocol/freshness.py
@@ -10,7 +10,7 @@
 import msgpack
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_number, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer, check_number
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
             case [asked_at, version, age, wall]:
                 return FreshnessReply(
                     _read_seconds(asked_at),
-                    check_whole(version, 1, LARGEST_SIGNED),
+                    check_integer(version, 1, MAX_INT64),
                     _read_seconds(age),
                     _read_seconds(wall),
                 )
--- a/src/swifttrestle/internal/protocol/listings.py
+++ b/src/swifttrestle/internal/protocol/listings.py
@@ -7,7 +7,7 @@
 import msgpack
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_number, check_text, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer, check_number, check_text
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
@@ -133,7 +133,7 @@
     match value:
         case [epoch, number]:
             return StoreRevision(
-                check_whole(epoch, 0, LARGEST_SIGNED), check_whole(number, 0, LARGEST_SIGNED)
+                check_integer(epoch, 0, MAX_INT64), check_integer(number, 0, MAX_INT64)
             )
     raise ValueError(f"{value!r:.80} is no revision")
 
@@ -158,6 +158,6 @@
                 Role(role),
                 born,
                 reclaimable,
-                None if leaves_in is None else check_number(leaves_in, 0, LARGEST_SIGNED),
+                None if leaves_in is None else check_number(leaves_in, 0, MAX_INT64),
             )
     raise ValueError(f"{values!r:.80} is no record")
--- a/src/swifttrestle/internal/protocol/permits.py
+++ b/src/swifttrestle/internal/protocol/permits.py
@@ -8,7 +8,7 @@
 import msgpack
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_number, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer, check_number
 from swifttrestle.internal.state.upstream_conditions import RateLimit
 
 # Characters that the name of a start may have in a datagram.
@@ -103,18 +103,18 @@
         match PermitMessageKind(kind):
             case PermitMessageKind.ASK:
                 return PermitRequest(
-                    check_whole(number, 0, LARGEST_SIGNED), start, bool(value), rate_limit
+                    check_integer(number, 0, MAX_INT64), start, bool(value), rate_limit
                 )
             case PermitMessageKind.ANSWER:
                 return PermitReply(
-                    check_whole(number, 0, LARGEST_SIGNED), start, _read_seconds(value), rate_limit
+                    check_integer(number, 0, MAX_INT64), start, _read_seconds(value), rate_limit
                 )
             case PermitMessageKind.TELL:
                 return RateLimitUpdate(start, rate_limit, bool(value))
             case PermitMessageKind.LEAVING:
                 return LeavingUpdate(start, bool(value))
             case PermitMessageKind.TRIAL:
-                return TrialRequest(check_whole(number, 0, LARGEST_SIGNED), start)
+                return TrialRequest(check_integer(number, 0, MAX_INT64), start)
     except (TypeError, ValueError, msgpack.UnpackException) as error:
         raise FrameError(f"a word on a limit cannot be read: {error!r}") from None
 
--- a/src/swifttrestle/internal/protocol/usage.py
+++ b/src/swifttrestle/internal/protocol/usage.py
@@ -6,7 +6,7 @@
 import msgpack
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_text, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer, check_text
 from swifttrestle.internal.state.usage import WindowCounts
 
 # Workspaces that one datagram tells of: with names of up to 20 characters it stays in one packet.
@@ -31,9 +31,9 @@
             case [str(source), window, dict(counts)]:
                 return WindowCounts(
                     source,
-                    check_whole(window, 0, LATEST_WINDOW),
+                    check_integer(window, 0, LATEST_WINDOW),
                     {
-                        check_text(name): check_whole(count, 0, LARGEST_SIGNED)
+                        check_text(name): check_integer(count, 0, MAX_INT64)
                         for name, count in counts.items()
                     },
                 )
--- a/src/swifttrestle/internal/settings.py
+++ b/src/swifttrestle/internal/settings.py
@@ -15,9 +15,9 @@
 from swifttrestle.internal.checks import (
     check_address,
     check_choice,
+    check_integer,
     check_name,
     check_number,
-    check_whole,
 )
 from swifttrestle.internal.described import check_field, described, is_required, write_default
 
@@ -110,21 +110,21 @@
     listen: str = described("Address for callers.", check_address, "127.0.0.1:8080")
     threads: int = described(
         "Threads for requests that wait or have no first token yet.",
-        partial(check_whole, low=8, high=1024),
+        partial(check_integer, low=8, high=1024),
         96,
     )
     max_body_bytes: int = described(
         "Largest body of a request, in bytes.",
-        partial(check_whole, low=1024, high=1 << 30),
+        partial(check_integer, low=1024, high=1 << 30),
         4000000,
     )
     max_header_bytes: int = described(
         "Largest header of a request, in bytes.",
-        partial(check_whole, low=1024, high=1 << 20),
+        partial(check_integer, low=1024, high=1 << 20),
         32768,
     )
     max_streams: int = described(
-        "Most streams open at once.", partial(check_whole, low=1, high=100000), 4000
+        "Most streams open at once.", partial(check_integer, low=1, high=100000), 4000
     )
     stall_seconds: float = described(
         "Seconds without a token after which a stream is resumed on another engine.",
@@ -146,7 +146,7 @@
     )
     seed: int = described(
         "Seed of random choices; 0 takes one from the name.",
-        partial(check_whole, low=0, high=1 << 62),
+        partial(check_integer, low=0, high=1 << 62),
         0,
     )
 
--- a/src/swifttrestle/internal/state/config.py
+++ b/src/swifttrestle/internal/state/config.py
@@ -10,9 +10,9 @@
 
 from returns.result import Failure, Success
 
-from swifttrestle.internal.logs import log_change, log_fault
+from swifttrestle.internal.logs import log_info, log_warning
 from swifttrestle.internal.protocol.peers import ShardCopy
-from swifttrestle.resources import Resource, ResourceSet, collect, parse_resource
+from swifttrestle.resources import Resource, ResourceSet, group_resources, parse_resource
 
 ACCEPTED = "Accepted"
 Listener = Callable[[ResourceSet], None]
@@ -43,11 +43,11 @@
                 self._shards[shard.name] = shard
                 self._parsed[shard.name] = _parse_all(shard)
             everything = (item for part in self._parsed.values() for item in part)
-            self.current = collect(everything)
+            self.current = group_resources(everything)
             for listener in self._listeners:
                 listener(self.current)
         for shard in changed:
-            log_change("configuration in force", shard=shard.name, epoch=shard.epoch)
+            log_info("configuration in force", shard=shard.name, epoch=shard.epoch)
         return True
 
     def _epoch_of(self, name: str) -> int:
@@ -74,10 +74,10 @@
     """Return the shard of a stored object, or None where it cannot be read."""
     epoch, resources = spec.get("epoch"), spec.get("resources")
     if not isinstance(epoch, int) or not isinstance(resources, list):
-        log_fault("an accepted shard cannot be read", shard=name)
+        log_warning("an accepted shard cannot be read", shard=name)
         return None
     if not all(isinstance(item, dict) for item in resources):
-        log_fault("an accepted shard cannot be read", shard=name)
+        log_warning("an accepted shard cannot be read", shard=name)
         return None
     return ShardCopy(name, epoch, resources)
 
@@ -91,5 +91,5 @@
             case Failure(faults):
                 # A newer process may know fields that this one does not: the rest of the
                 # shard stays usable while versions of the program are mixed.
-                log_fault("an accepted resource cannot be read", fault=str(faults[0]))
+                log_warning("an accepted resource cannot be read", fault=str(faults[0]))
     return tuple(parsed)
--- a/src/swifttrestle/internal/state/duties.py
+++ b/src/swifttrestle/internal/state/duties.py
@@ -5,7 +5,7 @@
 from typing import Any, TypeVar
 
 from swifttrestle.errors import BadEntryError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer
 from swifttrestle.internal.state.declared import Role
 
 # Windows of usage kept on the lease, newest last: four times as many as may be due at once.
@@ -134,7 +134,7 @@
             "incarnation": int(incarnation),
             "token": int(token),
             "orders": list(orders),
-        } if 0 < token <= LARGEST_SIGNED:
+        } if 0 < token <= MAX_INT64:
             return DutyLease(
                 holder,
                 incarnation,
@@ -151,7 +151,7 @@
 
 def _read_number(spec: Mapping[str, Any], name: str) -> int:
     try:
-        return check_whole(spec.get(name, 0), 0, LARGEST_SIGNED)
+        return check_integer(spec.get(name, 0), 0, MAX_INT64)
     except ValueError as error:
         raise BadEntryError("a lease", name, spec.get(name), str(error)) from None
 
@@ -179,7 +179,7 @@
             "reclaimable": bool(reclaimable),
             "count": int(count),
             "need": int(need),
-        } if 0 <= count <= LARGEST_SIGNED and 0 <= need <= LARGEST_SIGNED:
+        } if 0 <= count <= MAX_INT64 and 0 <= need <= MAX_INT64:
             return RecordedCapacity(service, zone, reclaimable, count, need)
     raise BadEntryError("a lease", "capacity", raw, "it is no order of upstreams")
 
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
 
-from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.callbacks import do_nothing
 from swifttrestle.internal.state.declared import EngineTraits, Role, UpstreamRecord
 from swifttrestle.internal.state.prompt_cache import PromptCache, SentPrompt
 
@@ -119,8 +119,8 @@
         # The name of the start in use of each instance that the list names.
         self._starts: dict[str, str] = {}
         # Called with a start that a later one has replaced, and with one that the list has lost.
-        self.on_replaced: Callable[[Instance], None] = ignore
-        self.on_removed: Callable[[Instance], None] = ignore
+        self.on_replaced: Callable[[Instance], None] = do_nothing
+        self.on_removed: Callable[[Instance], None] = do_nothing
         # The services that the configuration in force names, None while there is none.
         self.declared: frozenset[str] | None = None
         # The loop's time at which the discovery list was last confirmed.
--- a/src/swifttrestle/internal/state/median_clock.py
+++ b/src/swifttrestle/internal/state/median_clock.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 
 # Seconds for which another host's word counts: some questions between two hosts.
 WORD_SECONDS = 5.0
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        read_steady: Callable[[], float] = read_seconds,
+        read_steady: Callable[[], float] = read_boottime_seconds,
         read_wall: Callable[[], float] = time.time,
     ) -> None:
         """Count by a steady clock; begin with this host's own time of day."""
--- a/src/swifttrestle/internal/state/store_epochs.py
+++ b/src/swifttrestle/internal/state/store_epochs.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import OldEpochError
-from swifttrestle.internal.callbacks import ignore
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.callbacks import do_nothing
+from swifttrestle.internal.event_log import log_event
 
 # Seconds for which a store must have named nothing but a lower epoch until that one counts: far
 # over the time in which answers from before a return may still arrive.
@@ -43,7 +43,7 @@
         # How often the store has come back since this process first heard of an epoch.
         self.returns = 0
         # Called after each return.
-        self.on_return: Callable[[], None] = ignore
+        self.on_return: Callable[[], None] = do_nothing
         self._named = False
         self._lower_since: float | None = None
         self._told_odd = ""
@@ -68,7 +68,7 @@
         """Tell once of an epoch that cannot be read."""
         if text != self._told_odd:
             self._told_odd = text
-            log_decision("store epoch not read", named=text[:80], epoch=self.current)
+            log_event("store epoch not read", named=text[:80], epoch=self.current)
 
     def describe(self) -> dict[str, int]:
         """Return what operators ask: the epoch, and the returns that this process has seen."""
@@ -77,14 +77,14 @@
     def _is_fallen(self, named: int, now: float) -> bool:
         if self._lower_since is None:
             self._lower_since = now
-            log_decision("store names a lower epoch", named=named, epoch=self.current)
+            log_event("store names a lower epoch", named=named, epoch=self.current)
         return now - self._lower_since >= FALL_SECONDS
 
     def _begin(self, named: int, now: float) -> None:
         # A process that has just started knows no history that could have been lost.
         returned, self._named = self._named, True
         self.returns += returned
-        log_decision("store epoch", before=self.current, epoch=named, returns=self.returns)
+        log_event("store epoch", before=self.current, epoch=named, returns=self.returns)
         self.current, self.since = named, now
         self._lower_since = None
         if returned:
--- a/src/swifttrestle/internal/transport/caller.py
+++ b/src/swifttrestle/internal/transport/caller.py
@@ -13,7 +13,7 @@
 import httptools
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.state.declared import Limits
 from swifttrestle.internal.transport.messages import (
     LAST_CHUNK,
@@ -280,7 +280,7 @@
                 await self._handler.handle(request, self)
             except Exception as error:
                 # A fault of the program: its caller must see a broken answer, not silence.
-                log_decision("request handler failed", error=repr(error))
+                log_event("request handler failed", error=repr(error))
                 self.abort()
                 return
             self.busy = False
--- a/src/swifttrestle/internal/transport/datagrams.py
+++ b/src/swifttrestle/internal/transport/datagrams.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 
 Receiver = Callable[[bytes, str], None]
 
@@ -67,7 +67,7 @@
                 raise FrameError("a datagram is of no known kind")
             receiver(data[1:], addr[0])
         except FrameError as error:
-            log_decision("datagram skipped", sender=addr[0], reason=str(error))
+            log_event("datagram skipped", sender=addr[0], reason=str(error))
 
     def error_received(self, exc: Exception) -> None:
         """Pass over a peer that nobody listens for; its silence says the same."""
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from swifttrestle.errors import UpstreamUnreachedError
-from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.callbacks import do_nothing
 from swifttrestle.internal.transport.messages import ResponseHead
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest, UpstreamConnection
 
@@ -59,7 +59,7 @@
         self.opened = 0
         # Called with the instance, the head of each of its answers and the loop's time at which
         # the request was sent, before anybody else gets the answer.
-        self.on_answer: Callable[[str, ResponseHead, float], None] = ignore
+        self.on_answer: Callable[[str, ResponseHead, float], None] = do_nothing
 
     @contextlib.asynccontextmanager
     async def acquire(self, instance: str, address: Address) -> AsyncIterator[UpstreamConnection]:
--- a/src/swifttrestle/internal/transport/pump.py
+++ b/src/swifttrestle/internal/transport/pump.py
@@ -18,7 +18,7 @@
 from loguru import logger
 
 from swifttrestle.errors import CallerGoneError, UpstreamBrokenError
-from swifttrestle.internal.clock import read_seconds
+from swifttrestle.internal.clock import read_boottime_seconds
 
 SWEEP_SECONDS = 0.25
 
@@ -44,7 +44,7 @@
     finish: Finish
     stall_seconds: float
     want: WaitFor = WaitFor.DATA
-    moved_at: float = field(default_factory=read_seconds)
+    moved_at: float = field(default_factory=read_boottime_seconds)
     done: bool = False
 
 
@@ -84,10 +84,10 @@
         os.write(self._wake_write, b"\0")
 
     def _run(self) -> None:
-        next_sweep = read_seconds() + SWEEP_SECONDS
+        next_sweep = read_boottime_seconds() + SWEEP_SECONDS
         while True:
             events = self._selector.select(SWEEP_SECONDS)
-            now = read_seconds()
+            now = read_boottime_seconds()
             for key, mask in events:
                 if key.data is None:
                     self._take_incoming()
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -7,7 +7,7 @@
 import httptools
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.callbacks import ignore
+from swifttrestle.internal.callbacks import do_nothing
 from swifttrestle.internal.transport.messages import (
     LAST_CHUNK,
     Body,
@@ -61,7 +61,7 @@
         self.reusable = True
         self.idle_until = 0.0
         # Called with the head of each answer and the loop's time at which its request was sent.
-        self.on_head: Callable[[ResponseHead, float], None] = ignore
+        self.on_head: Callable[[ResponseHead, float], None] = do_nothing
 
     # Called by the event loop.
 
--- a/src/swifttrestle/platform/duties.py
+++ b/src/swifttrestle/platform/duties.py
@@ -9,7 +9,7 @@
 import orjson
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.event_log import log_decision
+from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.transport.messages import Body, Framing
 from swifttrestle.internal.transport.pool import ConnectionPool, call_once
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest
@@ -31,14 +31,14 @@
 
 
 @dataclass(frozen=True)
-class Authority:
+class LeaseCredentials:
     """Under which lease a call is made."""
 
     holder: str
     token: int
 
 
-class DutyCalls:
+class DutyApiClient:
     """The client of the platform's duty calls."""
 
     def __init__(self, address: Address, pool: ConnectionPool) -> None:
@@ -48,14 +48,14 @@
         self.calls = 0
 
     async def report_usage(
-        self, authority: Authority, window: int, counts: Mapping[str, int]
+        self, authority: LeaseCredentials, window: int, counts: Mapping[str, int]
     ) -> CallOutcome:
         """Report one window's requests by workspace."""
         body = {"windowId": window, "counts": dict(counts)}
         return await self._call(authority, b"/usage", body)
 
     async def order_upstreams(
-        self, authority: Authority, service: str, zone: str, count: int, reclaimable: bool
+        self, authority: LeaseCredentials, service: str, zone: str, count: int, reclaimable: bool
     ) -> CallOutcome:
         """Order how many upstreams of a kind a service is to have in a zone."""
         body: dict[str, Any] = {"service": service, "zone": zone, "desiredCount": count}
@@ -63,7 +63,7 @@
             body["spot"] = True
         return await self._call(authority, b"/scale", body)
 
-    async def _call(self, authority: Authority, path: bytes, body: Any) -> CallOutcome:
+    async def _call(self, authority: LeaseCredentials, path: bytes, body: Any) -> CallOutcome:
         self.calls += 1
         content = orjson.dumps(body)
         headers = [
@@ -80,7 +80,7 @@
                     self._pool, POOL_NAME, self._address, request, SMALL_ANSWER_BYTES
                 )
         except (UpstreamBrokenError, TimeoutError) as error:
-            log_decision("duty call unanswered", path=path.decode(), reason=repr(error))
+            log_event("duty call unanswered", path=path.decode(), reason=repr(error))
             return CallOutcome.UNANSWERED
         return _read_outcome(head.status)
 
--- a/src/swifttrestle/platform/engine.py
+++ b/src/swifttrestle/platform/engine.py
@@ -6,13 +6,13 @@
 import orjson
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.prompt_cache import PromptPart
 
 REPORT_PATH = b"/v1/report"
 ORDER_PATH = b"/v1/order"
-KEPT_PARTS_PATH = b"/v1/kv-list"
+CACHED_PARTS_PATH = b"/v1/kv-list"
 _HANDLE_PATH = "/v1/kv-handle/"
 
 
@@ -76,14 +76,14 @@
 
 
 @dataclass(frozen=True)
-class KeptParts:
+class CachedParts:
     """The parts that an engine keeps since its start at `born`, 0 where it does not tell that."""
 
     parts: tuple[PromptPart, ...]
     born: int = 0
 
 
-def read_kept_parts(body: bytes) -> KeptParts:
+def read_cached_parts(body: bytes) -> CachedParts:
     """Return the parts that an engine keeps, under names as in bookings; raise UpstreamBrokenError.
 
     Each entry of `held` is an empty text, the part's id, its tokens and the model.
@@ -94,12 +94,12 @@
             PromptPart(f"{model}/{part}", max(0, int(tokens)))
             for _, part, tokens, model in raw["held"]
         )
-        return KeptParts(parts, _read_born(raw))
+        return CachedParts(parts, _read_born(raw))
     except (KeyError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
         raise UpstreamBrokenError(f"an engine's list cannot be read: {error!r}") from None
 
 
-def is_other_start(told: int, known: int) -> bool:
+def is_other_incarnation(told: int, known: int) -> bool:
     """Return whether an engine's word is of another start than the known one.
 
     Both are in Unix milliseconds, 0 where nothing was told: then they may be the same.
@@ -108,7 +108,7 @@
 
 
 def _read_born(raw: dict[str, Any]) -> int:
-    return check_whole(raw.get("born", 0), 0, LARGEST_SIGNED)
+    return check_integer(raw.get("born", 0), 0, MAX_INT64)
 
 
 def write_order(order: RoleOrder) -> bytes:
@@ -124,17 +124,17 @@
     )
 
 
-def name_engine(instance: str) -> list[tuple[bytes, bytes]]:
+def build_engine_headers(instance: str) -> list[tuple[bytes, bytes]]:
     """Return the headers of a call of the system to one start of an engine."""
     return [(b"Host", b"engine"), (b"X-Expect-Instance", instance.encode())]
 
 
-def name_handle_source(address: tuple[str, int], handle: KvHandle) -> str:
+def format_kv_source(address: tuple[str, int], handle: KvHandle) -> str:
     """Return how a decoding engine is told where to fetch a handle."""
     return f"{address[0]}:{address[1]}/{handle.name}"
 
 
-def handle_path(handle: KvHandle) -> bytes:
+def build_handle_path(handle: KvHandle) -> bytes:
     """Return the path by which a handle is freed."""
     return (_HANDLE_PATH + handle.name).encode()
 
--- a/src/swifttrestle/platform/objects.py
+++ b/src/swifttrestle/platform/objects.py
@@ -8,7 +8,7 @@
 import orjson
 
 from swifttrestle.errors import BadEntryError, BadPlatformAnswerError
-from swifttrestle.internal.checks import LARGEST_SIGNED, check_text, check_whole
+from swifttrestle.internal.checks import MAX_INT64, check_integer, check_text
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class UnreadObject:
+class MalformedObject:
     """An object that cannot be read; `name` is empty where that cannot be read either."""
 
     kind: str
@@ -36,7 +36,7 @@
 class Change:
     """One change that a watch saw."""
 
-    item: StoredObject | UnreadObject
+    item: StoredObject | MalformedObject
     removed: bool
 
 
@@ -44,13 +44,13 @@
 class Snapshot:
     """The objects of a kind, and the store's revision from which a watch goes on.
 
-    `unread` are those that could not be read. Where the list is not `complete`, objects behind
+    `malformed` are those that could not be read. Where the list is not `complete`, objects behind
     a page without any readable name are missing from it.
     """
 
     items: tuple[StoredObject, ...]
     revision: StoreRevision
-    unread: tuple[UnreadObject, ...] = ()
+    malformed: tuple[MalformedObject, ...] = ()
     complete: bool = True
 
 
@@ -67,7 +67,7 @@
     """One page of a list; `last` is the name after which the next one begins."""
 
     items: tuple[StoredObject, ...]
-    unread: tuple[UnreadObject, ...]
+    malformed: tuple[MalformedObject, ...]
     revision: StoreRevision
     more: bool
     last: str
@@ -113,7 +113,7 @@
         raise BadEntryError(what, "metadata.name", metadata.get("name"), str(error)) from None
     revision = metadata.get("revision")
     try:
-        number = check_whole(revision, 0, LARGEST_SIGNED)
+        number = check_integer(revision, 0, MAX_INT64)
     except ValueError as error:
         raise BadEntryError(what, "metadata.revision", revision, str(error)) from None
     try:
@@ -128,22 +128,22 @@
     """Return one page of a list; raise BadPlatformAnswerError where it is none."""
     try:
         raw_items = list(raw["items"])
-        number = check_whole(raw["timestamp"], 0, LARGEST_SIGNED)
+        number = check_integer(raw["timestamp"], 0, MAX_INT64)
         more = bool(raw.get("hasMore")) and bool(raw_items)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadPlatformAnswerError(f"a list cannot be read: {error!r}") from None
     read = [_try_object(kind, item, epoch) for item in raw_items]
     items = tuple(item for item in read if isinstance(item, StoredObject))
-    unread = tuple(item for item in read if isinstance(item, UnreadObject))
+    malformed = tuple(item for item in read if isinstance(item, MalformedObject))
     last = next((item.name for item in reversed(read) if item.name), "")
-    return Page(items, unread, StoreRevision(epoch, number), more, last)
+    return Page(items, malformed, StoreRevision(epoch, number), more, last)
 
 
 def read_changes(kind: str, raw: Any, epoch: int = 0) -> Changes:
     """Return what a watch answered; raise BadPlatformAnswerError where it is no answer to one."""
     try:
         events = list(raw["events"])
-        number = check_whole(raw["timestamp"], 0, LARGEST_SIGNED)
+        number = check_integer(raw["timestamp"], 0, MAX_INT64)
     except (KeyError, TypeError, ValueError) as error:
         raise BadPlatformAnswerError(f"a watch cannot be read: {error!r}") from None
     read = tuple(_read_change(kind, event, epoch) for event in events)
@@ -153,16 +153,16 @@
 def _read_change(kind: str, event: Any, epoch: int) -> Change:
     if not isinstance(event, dict):
         error = BadEntryError(f"event of kind {kind}", "object", event, "the event is no map")
-        return Change(UnreadObject(kind, "", error, event), False)
+        return Change(MalformedObject(kind, "", error, event), False)
     # A removal counts by its name alone: what the object held does not matter any more.
     return Change(_try_object(kind, event.get("object"), epoch), event.get("removed") is True)
 
 
-def _try_object(kind: str, raw: Any, epoch: int) -> StoredObject | UnreadObject:
+def _try_object(kind: str, raw: Any, epoch: int) -> StoredObject | MalformedObject:
     try:
         return read_object(kind, raw, epoch)
     except BadEntryError as error:
-        return UnreadObject(kind, _find_name(raw), error, raw)
+        return MalformedObject(kind, _find_name(raw), error, raw)
 
 
 def _find_name(raw: Any) -> str:
--- a/src/swifttrestle/platform/records.py
+++ b/src/swifttrestle/platform/records.py
@@ -5,12 +5,12 @@
 
 from swifttrestle.errors import BadEntryError
 from swifttrestle.internal.checks import (
-    LARGEST_SIGNED,
+    MAX_INT64,
     check_bool,
     check_choice,
+    check_integer,
     check_number,
     check_text,
-    check_whole,
     split_ip_address,
 )
 from swifttrestle.internal.state.declared import (
@@ -54,22 +54,22 @@
     same name.
     """
     fields = _Fields(f"record of {instance}", spec)
-    fields.check("seq", lambda value: check_whole(value, 0, LARGEST_SIGNED))
+    fields.check("seq", lambda value: check_integer(value, 0, MAX_INT64))
     fields.check("version", check_text)
-    fields.check("coldRemainingMs", lambda value: check_number(value, 0, LARGEST_SIGNED))
+    fields.check("coldRemainingMs", lambda value: check_number(value, 0, MAX_INT64))
     fields.check("models", _check_list)
     return UpstreamRecord(
         instance=instance,
         service=fields.read("service", check_text),
         address=fields.read("address", split_ip_address),
         zone=fields.read("zone", check_text),
-        slots=fields.read("slots", lambda value: check_whole(value, 1, MOST_SLOTS)),
+        slots=fields.read("slots", lambda value: check_integer(value, 1, MOST_SLOTS)),
         leaving=fields.read("state", lambda value: check_choice(value, _STATES)) == _LEAVING,
         role=Role(fields.check("phase", lambda value: check_choice(value, _PHASES)) or "none"),
-        born=fields.check("born", lambda value: check_whole(value, 1, LARGEST_SIGNED)) or 0,
+        born=fields.check("born", lambda value: check_integer(value, 1, MAX_INT64)) or 0,
         reclaimable=fields.check("spot", check_bool) or False,
         leaves_in=_to_seconds(
-            fields.check("leaves_ms", lambda value: check_number(value, 0, LARGEST_SIGNED))
+            fields.check("leaves_ms", lambda value: check_number(value, 0, MAX_INT64))
         ),
     )
 
@@ -123,7 +123,7 @@
 def _read_configuration(spec: Any) -> Configuration:
     services = [_read_service(item) for item in spec.get("services", [])]
     return Configuration(
-        version=check_whole(spec["version"], 1, LARGEST_SIGNED),
+        version=check_integer(spec["version"], 1, MAX_INT64),
         routes=tuple(_read_route(item) for item in spec.get("routes", [])),
         services={service.name: service for service in services},
         limits=_read_limits(spec.get("limits") or {}),
@@ -157,7 +157,7 @@
     if not isinstance(keys, list) or not all(_is_key(key) for key in keys):
         reason = f"it is no list of texts of 1 to {LONGEST_KEY} characters"
         raise BadEntryError(f"workspace {name}", "apiKeys", _HIDDEN, reason)
-    priority = fields.check("priority", lambda value: check_whole(value, 0, LEAST_PRIORITY))
+    priority = fields.check("priority", lambda value: check_integer(value, 0, LEAST_PRIORITY))
     return Workspace(name, frozenset(digest_key(key.encode()) for key in keys), priority)
 
 
@@ -169,8 +169,8 @@
     fields = _Fields("scaling", raw)
     prices = raw.get("zonePrices") or {}
     return Scaling(
-        least=fields.check("min", lambda value: check_whole(value, 0, LARGEST_SIGNED)) or 0,
-        most=fields.read("max", lambda value: check_whole(value, 0, LARGEST_SIGNED)),
+        least=fields.check("min", lambda value: check_integer(value, 0, MAX_INT64)) or 0,
+        most=fields.read("max", lambda value: check_integer(value, 0, MAX_INT64)),
         boot_seconds=fields.check("bootS", lambda value: check_number(value, 0, 1e6)) or 0.0,
         prices={str(zone): float(price) for zone, price in prices.items()},
         reclaimable_price=_read_reclaimable_price(fields),
--- a/src/swifttrestle/platform/settings.py
+++ b/src/swifttrestle/platform/settings.py
@@ -9,7 +9,7 @@
 import orjson
 
 from swifttrestle.errors import InvalidSettingError
-from swifttrestle.internal.checks import check_bool, check_number, check_whole, split_address
+from swifttrestle.internal.checks import check_bool, check_integer, check_number, parse_address
 
 PATH_VARIABLE = "SWIFTTRESTLE_BOOT"
 LARGEST_PORT = 65535
@@ -23,7 +23,8 @@
     """The promised bounds that this program acts on; all in seconds but the retry figures.
 
     `revocation` is for how long after its removal a key may be served, infinite where nothing but
-    the version in force counts. `usage_window` is the length of the windows in which requests
+    the version in force counts. `usage_window_seconds` is the length of the windows in which
+    requests
     are counted for their workspaces, 0 where they are not.
     """
 
@@ -33,7 +34,7 @@
     retry_window: float
     retry_extra: float
     revocation: float = float("inf")
-    usage_window: float = 0.0
+    usage_window_seconds: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -67,7 +68,7 @@
     link_mbps: float = 0.0
     regions: dict[str, str] = field(default_factory=dict)
 
-    def is_near(self, zone: str) -> bool:
+    def is_in_same_region(self, zone: str) -> bool:
         """Return whether a zone is in this host's region, as far as that is told."""
         own = self.regions.get(self.zone)
         return own is None or self.regions.get(zone, own) == own
@@ -112,7 +113,7 @@
             retry_window=bounds.number("budgetWindowS", 0.1, LONGEST_MS / 1000),
             retry_extra=bounds.number("budgetExtra", 0, 1e9),
             revocation=_read_revocation(bounds),
-            usage_window=bounds.optional_number("reportWindowS"),
+            usage_window_seconds=bounds.optional_number("reportWindowS"),
         ),
         duties=_read_duties(table.optional_table("cloudApi")),
     )
@@ -182,14 +183,14 @@
         return self._check(name, lambda value: check_number(value, low, high))
 
     def address(self, name: str) -> Address:
-        return self._check(name, split_address)
+        return self._check(name, parse_address)
 
     def addresses(self, name: str) -> list[Address]:
         value = self._raw.get(name, [])
-        return self._wrap(name, lambda: [split_address(item) for item in value])
+        return self._wrap(name, lambda: [parse_address(item) for item in value])
 
     def first_port(self, name: str) -> int:
-        return self._check(name, lambda ports: check_whole(ports[0], 1, LARGEST_PORT))
+        return self._check(name, lambda ports: check_integer(ports[0], 1, LARGEST_PORT))
 
     def _find(self, name: str) -> Any:
         if name not in self._raw:
--- a/src/swifttrestle/platform/store.py
+++ b/src/swifttrestle/platform/store.py
@@ -28,9 +28,9 @@
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest
 from swifttrestle.platform.objects import (
     Changes,
+    MalformedObject,
     Snapshot,
     StoredObject,
-    UnreadObject,
     decode_answer,
     read_changes,
     read_object,
@@ -80,7 +80,7 @@
         Raises OldEpochError where the store came back from a copy between two pages.
         """
         items: list[StoredObject] = []
-        unread: list[UnreadObject] = []
+        malformed: list[MalformedObject] = []
         first: StoreRevision | None = None
         after = ""
         while True:
@@ -88,14 +88,14 @@
             raw = await self._call(b"GET", f"/v1/objects/{kind}{query}", None, READ_SECONDS)
             page = read_page(kind, raw, self.epochs.current)
             items += page.items
-            unread += page.unread
+            malformed += page.malformed
             # The oldest page's revision is safe to watch from: nothing after it is missed.
             first = first or page.revision
             if first.epoch != page.revision.epoch:
                 raise OldEpochError(f"{kind}: the first page is of {first}")
             complete = not page.more
             if complete or page.last in ("", after):
-                return Snapshot(tuple(items), first, tuple(unread), complete)
+                return Snapshot(tuple(items), first, tuple(malformed), complete)
             after = page.last
 
     async def watch(self, kind: str, since: StoreRevision, seconds: float) -> Changes:
--- a/src/swifttrestle/platform/wire.py
+++ b/src/swifttrestle/platform/wire.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class RequestFacts:
+class RequestMetadata:
     """What the headers of a request say; `patience` is in seconds, None where not given."""
 
     request_id: bytes
@@ -51,11 +51,11 @@
     parts: tuple[PromptPart, ...]
 
 
-def read_facts(headers: Sequence[Header]) -> RequestFacts:
+def read_request_metadata(headers: Sequence[Header]) -> RequestMetadata:
     """Return the facts of a request; what cannot be read counts as not given."""
     found = {name.lower(): value for name, value in headers}
     sizes = found.get(TOKEN_SIZES, b"").split(b",")
-    return RequestFacts(
+    return RequestMetadata(
         request_id=found.get(REQUEST_ID, b""),
         patience=_read_milliseconds(found.get(DEADLINE)),
         model=found.get(MODEL, b"").decode("latin-1"),
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class Forwarding:
+class ForwardingHeaders:
     """What the system adds to a forwarded request; `left` is in seconds.
 
     `fetch_from` is the address of another engine, from which this one first copies what that one
@@ -120,7 +120,7 @@
     return [value for name, value in headers if name.lower() == KEY]
 
 
-def name_workspace(stripped: Sequence[Header], workspace: str | None) -> list[Header]:
+def set_workspace_header(stripped: Sequence[Header], workspace: str | None) -> list[Header]:
     """Return a request's headers with its workspace's name in place of the caller's key.
 
     What the caller itself wrote for a workspace is dropped, also where no workspace is named.
@@ -131,7 +131,7 @@
     return headers
 
 
-def build_forward_headers(stripped: Sequence[Header], added: Forwarding) -> list[Header]:
+def build_forward_headers(stripped: Sequence[Header], added: ForwardingHeaders) -> list[Header]:
     """Return the headers of one forwarded request, without its framing."""
     headers = list(stripped)
     if added.last_event is not None:
@@ -170,7 +170,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerFacts:
+class ResponseMetadata:
     """What the head of an upstream's answer proves.
 
     `replaced` says that another instance now answers at the address. An engine also answers
@@ -183,13 +183,15 @@
     replaced: bool
 
 
-def read_answer_facts(status: int, headers: Sequence[Header], expected: str) -> AnswerFacts:
+def read_response_metadata(
+    status: int, headers: Sequence[Header], expected: str
+) -> ResponseMetadata:
     """Return what an answer proves; only 421 and the explicit header say that nothing ran.
 
     `expected` is the instance that the request was meant for.
     """
     found = {name.lower(): value for name, value in headers}
-    return AnswerFacts(
+    return ResponseMetadata(
         request_id=found.get(REQUEST_ID, b""),
         signed=ANSWER_SIGNATURE in found,
         not_run=status == _MISDIRECTED or NOT_RUN in found,
@@ -197,12 +199,12 @@
     )
 
 
-def is_of_instance(status: int, headers: Sequence[Header], expected: str) -> bool:
+def is_from_instance(status: int, headers: Sequence[Header], expected: str) -> bool:
     """Return whether an answer is one of the expected instance, not of a later one there."""
-    return status != _MISDIRECTED or not read_answer_facts(status, headers, expected).replaced
+    return status != _MISDIRECTED or not read_response_metadata(status, headers, expected).replaced
 
 
-def names_request(headers: Sequence[Header]) -> bool:
+def has_request_id(headers: Sequence[Header]) -> bool:
     """Return whether an answer is one to a request, not to a call of the system itself."""
     return any(name.lower() == REQUEST_ID for name, _ in headers)
 
--- a/src/swifttrestle/resources.py
+++ b/src/swifttrestle/resources.py
@@ -16,11 +16,11 @@
     check_address,
     check_bool,
     check_choice,
+    check_integer,
     check_name,
     check_names,
     check_number,
     check_sha256,
-    check_whole,
 )
 from swifttrestle.internal.described import check_field, described, find_unknown, is_required
 
@@ -135,12 +135,12 @@
     )
     deadline_ms: int = described(
         "Milliseconds from arrival to the whole answer, unless the caller says less.",
-        partial(check_whole, low=10, high=DAY_MS),
+        partial(check_integer, low=10, high=DAY_MS),
         60_000,
     )
     max_tokens: int = described(
         "Most tokens of an answer, and the number where the caller gives none.",
-        partial(check_whole, low=1, high=1_000_000),
+        partial(check_integer, low=1, high=1_000_000),
         512,
     )
     repeatable: bool = described(
@@ -183,7 +183,7 @@
     )
     slots: int = described(
         "Requests it runs at once; a first guess, corrected by its reports.",
-        partial(check_whole, low=1, high=100_000),
+        partial(check_integer, low=1, high=100_000),
         16,
     )
 
@@ -216,7 +216,7 @@
     )
     role_floor: int = described(
         "Least engines of a pool that can take prefill work, and likewise decode work.",
-        partial(check_whole, low=1, high=1000),
+        partial(check_integer, low=1, high=1000),
         1,
     )
     urgent_reserve: float = described(
@@ -226,14 +226,14 @@
     )
     queue_limit: int = described(
         "Most requests that wait in one entry for room.",
-        partial(check_whole, low=0, high=100_000),
+        partial(check_integer, low=0, high=100_000),
         64,
     )
     retry_ratio: float = described(
         "Retries as a share of requests.", partial(check_number, low=0, high=1), 0.1
     )
     attempts: int = described(
-        "Most attempts of one request.", partial(check_whole, low=1, high=10), 3
+        "Most attempts of one request.", partial(check_integer, low=1, high=10), 3
     )
     ejection_cap: float = described(
         "Largest share of a service's upstreams that are left out for being broken.",
@@ -322,7 +322,7 @@
 }
 
 
-def collect(resources: Iterable[Resource]) -> ResourceSet:
+def group_resources(resources: Iterable[Resource]) -> ResourceSet:
     """Sort resources by kind."""
     sorted_out: dict[str, dict[str, Any]] = {field: {} for field in _FIELD_OF_KIND.values()}
     for resource in resources:
--- a/src/swifttrestle_standins/caller.py
+++ b/src/swifttrestle_standins/caller.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 
 
 @dataclass
@@ -68,7 +68,7 @@
     """Send one request and read its answer, streamed or whole."""
     answer = Answer()
     began = time.monotonic()
-    connection = http.client.HTTPConnection(*split_address(address), timeout=timeout)
+    connection = http.client.HTTPConnection(*parse_address(address), timeout=timeout)
     all_headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
     try:
         connection.request("POST", path, body, {**all_headers, **headers})
--- a/src/swifttrestle_standins/engine.py
+++ b/src/swifttrestle_standins/engine.py
@@ -11,7 +11,7 @@
 import urllib3
 
 from swifttrestle.errors import RefusedError
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.protocol.prefixes import count_tokens, split_blocks
 from swifttrestle.internal.transport.http import Exchange, Handler, make_client, parse_json_object
 from swifttrestle_standins.batch import RANK, Batch, Speed, Stream
@@ -321,7 +321,7 @@
     )
     for work in (batch.run, engine.observe_for_ever):
         threading.Thread(target=work, daemon=True).start()
-    serve_until_stopped("engine", split_address(listen), engine, _Admin(engine))
+    serve_until_stopped("engine", parse_address(listen), engine, _Admin(engine))
 
 
 def main() -> None:
--- a/src/swifttrestle_standins/hosted/site.py
+++ b/src/swifttrestle_standins/hosted/site.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from swifttrestle.gateway import Gateway
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.transport.caller import (
     CallerConnection,
     ConnectionSet,
@@ -255,7 +255,7 @@
             upstream.instance = f"{former.partition('-')[0]}-{upstream.born}"
             self.upstreams[upstream.instance] = self.upstreams.pop(former)
             self.addresses[upstream.instance] = address
-        await self._serve(upstream.instance, upstream, *split_address(address))
+        await self._serve(upstream.instance, upstream, *parse_address(address))
         self.list_upstream(upstream)
 
     async def _stay_reset(
@@ -278,7 +278,7 @@
             assert isinstance(connection, _ServerConnection)
             connection.fall_silent()
         self._servers = [item for item in self._servers if not self._is_of(item, upstream)]
-        return silence_address(*split_address(self.addresses[upstream.instance]))
+        return silence_address(*parse_address(self.addresses[upstream.instance]))
 
     def cut_store_connections(self) -> None:
         """Reset all connections to the store."""
--- a/src/swifttrestle_standins/platform.py
+++ b/src/swifttrestle_standins/platform.py
@@ -10,7 +10,7 @@
 import orjson
 
 from swifttrestle.errors import RefusedError
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.transport.http import Exchange, Handler, parse_json_object
 from swifttrestle_standins.serving import AdminHandler, serve_until_stopped
 
@@ -276,7 +276,7 @@
 ) -> None:
     """Run a fake platform; limits in calls a second, the host list's lag in seconds."""
     platform = Platform(writes, reads, host_lag)
-    serve_until_stopped("platform", split_address(listen), platform, _Admin(platform))
+    serve_until_stopped("platform", parse_address(listen), platform, _Admin(platform))
 
 
 def main() -> None:
--- a/src/swifttrestle_standins/service.py
+++ b/src/swifttrestle_standins/service.py
@@ -7,7 +7,7 @@
 
 import fire
 
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.transport.http import Exchange, Handler
 from swifttrestle_standins.serving import AdminHandler, serve_until_stopped
 
@@ -83,7 +83,7 @@
 def run(listen: str = "127.0.0.1:0") -> None:
     """Run a fake plain service."""
     service = PlainService()
-    serve_until_stopped("service", split_address(listen), service, _Admin(service))
+    serve_until_stopped("service", parse_address(listen), service, _Admin(service))
 
 
 def main() -> None:
--- a/tests/cover/test_entries.py
+++ b/tests/cover/test_entries.py
@@ -131,7 +131,7 @@
     answer = b'{"items":%s,"hasMore":false,"timestamp":9}' % write(items)
     page = objects.read_page("servers", objects.decode_answer("/", answer))
     assert [found.name for found in page.items] == ["a", "z"]
-    assert len(page.unread) == 1
+    assert len(page.malformed) == 1
     events = [b'{"removed":false,"object":%s}' % write([found])[1:-1] for found in items]
     watched = b'{"events":%s,"timestamp":9}' % write(events)
     changes = objects.read_changes("servers", objects.decode_answer("/", watched)).changes
@@ -173,7 +173,7 @@
 def test_paging_goes_on_behind_a_bad_item(pages):
     snapshot = asyncio.run(PagedStore(pages).list("servers"))
     assert [item.name for item in snapshot.items] == ["p0", "p1"]
-    assert len(snapshot.unread) == 1
+    assert len(snapshot.malformed) == 1
     assert snapshot.complete
 
 
--- a/tests/cover/test_examples.py
+++ b/tests/cover/test_examples.py
@@ -6,7 +6,7 @@
 
 from swifttrestle.errors import InvalidResourceError
 from swifttrestle.internal.files import read_documents
-from swifttrestle.resources import collect, find_faults, parse_resource
+from swifttrestle.resources import find_faults, group_resources, parse_resource
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 
@@ -15,7 +15,7 @@
 def test_an_example_is_valid(name):
     documents = read_documents((str(EXAMPLES / name),))
     resources = [parse_resource(d.kind, d.name, d.spec).unwrap() for d in documents]
-    found = collect(resources)
+    found = group_resources(resources)
     assert find_faults(found) == []
     kinds = [upstream.type for upstream in found.upstreams.values()]
     assert (kinds.count("engine"), kinds.count("plain")) == (6, 3)
--- a/tests/cover/test_homes.py
+++ b/tests/cover/test_homes.py
@@ -102,11 +102,11 @@
 
 def test_homes_stay_in_the_region_of_the_host():
     settings = read_host_settings({**GOOD, "zone": "a", "zones": {"a": "r", "b": "r", "c": "q"}})
-    assert [settings.is_near(zone) for zone in ("a", "b", "c", "unknown")] == [
+    assert [settings.is_in_same_region(zone) for zone in ("a", "b", "c", "unknown")] == [
         True, True, False, True,
     ]  # fmt: skip
     untold = read_host_settings({**GOOD, "zone": "a"})
-    assert untold.is_near("c")
+    assert untold.is_in_same_region("c")
 
 
 @pytest.mark.parametrize("zones", [["a"], {"a": 1}, "a"])
--- a/tests/cover/test_kept_parts.py
+++ b/tests/cover/test_kept_parts.py
@@ -11,14 +11,14 @@
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.prompt_cache import PromptPart
 from swifttrestle.internal.transport.pool import ConnectionPool
-from swifttrestle.platform.engine import read_kept_parts
+from swifttrestle.platform.engine import read_cached_parts
 from swifttrestle_standins.pieces import cut_pieces
 
 LIST = b'{"epoch": 1, "nextPageToken": 7, "held": [["", "aa", 4000, "m"], ["", "bb", 30, "m"]]}'
 
 
 def test_an_engines_list_is_decoded_under_the_names_of_bookings():
-    assert read_kept_parts(LIST).parts == (PromptPart("m/aa", 4000), PromptPart("m/bb", 30))
+    assert read_cached_parts(LIST).parts == (PromptPart("m/aa", 4000), PromptPart("m/bb", 30))
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
 )
 def test_a_list_that_cannot_be_read_is_a_typed_error(body):
     with pytest.raises(UpstreamBrokenError):
-        read_kept_parts(body)
+        read_cached_parts(body)
 
 
 def run_loader(answer, schedules_engines=True, engines=1, pieces=1):
--- a/tests/cover/test_other_writers.py
+++ b/tests/cover/test_other_writers.py
@@ -32,7 +32,7 @@
 from swifttrestle.internal.state.routes import RouteTable
 from swifttrestle.internal.state.store_epochs import StoreRevision
 from swifttrestle.platform import objects
-from swifttrestle.platform.engine import read_handle, read_kept_parts, read_report
+from swifttrestle.platform.engine import read_cached_parts, read_handle, read_report
 from swifttrestle.platform.records import read_configuration, read_upstream
 
 # Each example is found again by its seed alone, and takes under a millisecond.
@@ -119,12 +119,12 @@
     page = objects.read_page("servers", raw)
     entries = UpstreamEntries(Fleet(), SkippedEntries(lambda kind, field: None))
     fleet = Fleet()
-    for item in (*page.unread, *page.items):
+    for item in (*page.malformed, *page.items):
         record = entries.read(item)
         if record is not None:
             fleet.put(record)
     assert {"g0", "g1"} <= fleet.list_names()
-    assert len(page.items) + len(page.unread) == len(items)
+    assert len(page.items) + len(page.malformed) == len(items)
 
 
 @SEEDED
@@ -152,7 +152,7 @@
 @SEEDED
 @given(st.binary(max_size=60) | JSON.map(write))
 def test_an_engines_answer_is_read_or_counts_as_broken(content):
-    for read in (read_report, read_handle, read_kept_parts):
+    for read in (read_report, read_handle, read_cached_parts):
         try:
             read(content)
         except UpstreamBrokenError:
--- a/tests/cover/test_platform_adapter.py
+++ b/tests/cover/test_platform_adapter.py
@@ -203,14 +203,14 @@
     )
 )
 def test_whatever_a_caller_sends_in_its_headers_counts_as_given_or_not(headers):
-    facts = wire.read_facts(headers)
+    facts = wire.read_request_metadata(headers)
     assert facts.prompt_tokens >= 0
     assert facts.patience is None or facts.patience >= 0
 
 
 @pytest.mark.parametrize("patience", [b"nan", b"inf", b"-5", b"x"])
 def test_a_deadline_that_is_no_time_is_no_deadline_or_none_left(patience):
-    facts = wire.read_facts([(b"X-Deadline-Ms", patience)])
+    facts = wire.read_request_metadata([(b"X-Deadline-Ms", patience)])
     assert facts.patience is None or facts.patience == 0.0
 
 
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -20,7 +20,7 @@
 from swifttrestle.internal.state.fleet import NO_WORK, Fleet, OpenWork
 from swifttrestle.internal.state.prompt_cache import PromptPart, SentPrompt
 from swifttrestle.internal.state.store_epochs import StoreRevision
-from swifttrestle.platform.engine import is_other_start, read_kept_parts, read_report
+from swifttrestle.platform.engine import is_other_incarnation, read_cached_parts, read_report
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
 FIRST = UpstreamRecord("e", "s", ("10.0.0.1", 80), "a", 8, False, Role.PREFILL, born=1000)
@@ -144,10 +144,10 @@
     [(0, 0, False), (0, 5, False), (5, 0, False), (5, 5, False), (5, 6, True), (6, 5, True)],
 )
 def test_a_word_is_of_another_start_only_where_both_are_told(told, known, other):
-    assert is_other_start(told, known) is other
+    assert is_other_incarnation(told, known) is other
 
 
 def test_reports_and_lists_of_kept_parts_tell_the_start():
     report = b'{"phase":"decode","seq":3,"born":1000}'
     assert (read_report(report).born, read_report(report).orders_taken) == (1000, 3)
-    assert read_kept_parts(b'{"held":[["","p",7,"m"]],"born":1000}').born == 1000
+    assert read_cached_parts(b'{"held":[["","p",7,"m"]],"born":1000}').born == 1000
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -14,7 +14,7 @@
 import pytest
 
 from swifttrestle.internal import clock
-from swifttrestle.internal.clock import MonotonicClock, read_seconds
+from swifttrestle.internal.clock import MonotonicClock, read_boottime_seconds
 from swifttrestle.internal.coordination.duty_lease import SEND_SECONDS, DutyLeaseManager
 from swifttrestle.internal.loop import run_in_loop
 from swifttrestle.internal.state.store_epochs import StoreEpochs, StoreRevision
@@ -43,8 +43,8 @@
 
 
 def test_the_clock_counts_suspended_seconds():
-    assert read_seconds() == pytest.approx(time.clock_gettime(time.CLOCK_BOOTTIME), abs=5)
-    assert MonotonicClock().now() == pytest.approx(read_seconds(), abs=5)
+    assert read_boottime_seconds() == pytest.approx(time.clock_gettime(time.CLOCK_BOOTTIME), abs=5)
+    assert MonotonicClock().now() == pytest.approx(read_boottime_seconds(), abs=5)
 
 
 def test_a_timer_is_due_after_a_suspension_that_was_longer(suspension):
--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -179,11 +179,11 @@
     for upstream in site.upstreams.values():
         upstream.hold.clear()
     asked = asyncio.ensure_future(ask(address_of(site), "/goal/a", "g1"))
-    await wait_until(lambda: gateway(site, "g1").count_peer_work() == 1, "peer's work")
+    await wait_until(lambda: gateway(site, "g1").count_peer_requests() == 1, "peer's work")
     for upstream in site.upstreams.values():
         upstream.hold.set()
     assert (await asked).status == 200
-    await wait_until(lambda: gateway(site, "g1").count_peer_work() == 0, "its end")
+    await wait_until(lambda: gateway(site, "g1").count_peer_requests() == 0, "its end")
 
 
 @on_site(gateways=2, engines=("decode",) * 6)
@@ -316,7 +316,7 @@
         upstream.hold.clear()
     caller = await RawCaller.connect(address_of(site))
     caller.send(write_request("/goal/a", "g1"))
-    await wait_until(lambda: gateway(site).count_open_work() == 1, "open request")
+    await wait_until(lambda: gateway(site).count_open_requests() == 1, "open request")
     gateway(site).stop()
     assert not gateway(site).is_ready()
     late = await ask(address_of(site), "/nothing/a", "x1")
--- a/tests/hosted/test_large_fleets.py
+++ b/tests/hosted/test_large_fleets.py
@@ -135,7 +135,7 @@
     for answer in served:
         assert count_runs(site, answer.headers["x-request-id"]) == 1
     await wait_until(
-        lambda: not sum(item.gateway.count_open_work() for item in site.gateways.values()),
+        lambda: not sum(item.gateway.count_open_requests() for item in site.gateways.values()),
         "bookings given back",
     )
 
--- a/tests/hosted/test_requests.py
+++ b/tests/hosted/test_requests.py
@@ -179,7 +179,7 @@
     caller.close()
     await wait_until(lambda: any("r1" in u.cancelled for u in arrived), "cancellation")
     engine = site.gateways["g0"].gateway
-    await wait_until(lambda: engine.count_open_work() == 0, "open work to end")
+    await wait_until(lambda: engine.count_open_requests() == 0, "open work to end")
 
 
 @pytest.mark.parametrize(("share", "status", "runs"), [(0.0, 503, 0), (5.0, 200, 1)])
@@ -268,11 +268,13 @@
         head = write_request("/goal/a", f"g{number}", method="POST").decode()
         head = head.replace("Content-Length: 0", "Transfer-Encoding: chunked")
         caller.send(head.encode() + b"3\r\nabc\r\n")
-        await wait_until(lambda: site.gateways["g0"].gateway.count_open_work() == 1, "open work")
+        await wait_until(
+            lambda: site.gateways["g0"].gateway.count_open_requests() == 1, "open work"
+        )
         caller.send(b"zz\r\n")
         assert (await caller.read_answer()).status in (400, 502)
         caller.close()
-    assert not site.gateways["g0"].gateway.is_left_out("s0")
+    assert not site.gateways["g0"].gateway.is_ejected("s0")
 
 
 @on_site()
--- a/tests/hosted/test_upstream_limits.py
+++ b/tests/hosted/test_upstream_limits.py
@@ -163,4 +163,4 @@
     answer = await ask(address_of(site), load.path, "r1", **load.headers)
     assert (answer.status, answer.whole) == (200, True)
     assert len(held) == 1
-    assert not site.gateways["g0"].gateway.count_open_work()
+    assert not site.gateways["g0"].gateway.count_open_requests()
--- a/tests/nocover/test_live_entry.py
+++ b/tests/nocover/test_live_entry.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bench.fleetfile import KEY, declare_fleet
-from swifttrestle.internal.checks import split_address
+from swifttrestle.internal.checks import parse_address
 from swifttrestle_standins.caller import ask, send
 from swifttrestle_standins.fleet import SECRET, Fleet, wait_until
 
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("noise", [b"", b"GET / HTTP/1.1\r\n\r\n", b"swt1" + b"\0" * 48])
 def test_a_stranger_on_the_peer_port_is_turned_away(fleet, noise):
     before = fleet.dump("n1")["counters"]
-    with socket.create_connection(split_address(fleet.members["n1"].addresses["peer"])) as sock:
+    with socket.create_connection(parse_address(fleet.members["n1"].addresses["peer"])) as sock:
         sock.sendall(noise)
         sock.shutdown(socket.SHUT_WR)
         sock.settimeout(10)
