--- a/src/swifttrestle/internal/state/__init__.py
+++ b/src/swifttrestle/internal/state/__init__.py
@@ -1,1 +1,1 @@
-"""What one process knows: accepted configuration, upstreams, open requests."""
+"""In-memory state of one process: configuration, upstreams, peers and open requests."""
--- a/src/swifttrestle/internal/state/backpressure.py
+++ b/src/swifttrestle/internal/state/backpressure.py
@@ -1,17 +1,16 @@
-"""What upstreams say in their answers about the work that they take."""
+"""Backpressure that an upstream signals in its responses."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Backpressure:
-    """What one answer says of the upstream that gave it.
+    """Backpressure signals of one response.
 
-    `rest` is for how many seconds it wants nothing from this host, 0 where it asks for none and
-    None where the time that it names cannot be read. `rate` is how many requests a second it takes
-    from all hosts together, None where it names no limit. `unreadable` holds what could not be
-    read, as
-    texts of name and value.
+    `rest` is the cool-down in seconds for which the upstream wants no request from this host, 0 if
+    it asks for none and None if the value is malformed. `rate` is its limit in requests per second
+    from all hosts together, None if it names no limit. `unreadable` lists the malformed headers, as
+    "name: value".
     """
 
     leaving: bool = False
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -1,4 +1,4 @@
-"""Engines booked for one request: what is asked, what was found, how each was given back."""
+"""Bookings of engines: the requirements of a request, the engines booked and their outcome."""
 
 import math
 from dataclasses import dataclass, field
@@ -9,14 +9,14 @@
 
 
 class Stage(IntEnum):
-    """What an engine is booked for."""
+    """The work for which an engine is booked: prefill (`READ`) or decode."""
 
     READ = 1
     DECODE = 2
 
 
 class Outcome(IntEnum):
-    """How an engine that was booked turned out."""
+    """How the use of a booked engine ended."""
 
     DONE = 0
     CANCELLED = 1
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class BookingRequest:
-    """What decides which engines serve a request; times in seconds from now.
-
-    `left` is the time to the deadline, `longest_wait` the time that it may wait for engines and
-    still be in time, `max_wait` the time that it may wait in all, from what others leave;
-    `longest_read_wait` the predicted wait for its reading that is short enough: less by
-    what it has waited before, unless `late`, where its objective is over in any case. Its prompt
-    must be read within `latest_read` for it to be in time.
-    `parts` are those of the prompt, named so that no two models share a name.
+    """What a request needs of engines; times are in seconds from now.
+
+    `left` is the time to the deadline. `longest_wait` is the longest wait for engines that still
+    meets the latency objective, and `max_wait` the longest wait in all, served from what other
+    requests leave. `longest_read_wait` is the longest acceptable predicted wait for prefill: the
+    time already waited is subtracted, unless the request is `late`, so that it misses its objective
+    anyway. Prefill must end within `latest_read` for the objective to be met. `parts` are the
+    parts of the prompt, with ids that differ between models.
     """
 
     service: str
@@ -53,7 +53,7 @@
     latest_read: float = math.inf
 
     def checked(self) -> "BookingRequest":
-        """Return the request as it came from a peer; raise TypeError for a wrong field."""
+        """Return the request after checking the types that a peer sent; raise TypeError."""
         texts: tuple[object, ...] = (self.service, self.zone, self.affinity)
         texts += tuple(item.part for item in self.parts)
         numbers: tuple[object, ...] = (
@@ -67,15 +67,15 @@
         )
         numbers += tuple(item.tokens for item in self.parts)
         if not all(isinstance(value, str) for value in (*texts, *self.excluded)):
-            raise TypeError("a name in a booking is no text")
+            raise TypeError("booking request: each name must be a string")
         if not all(isinstance(value, int | float) for value in numbers):
-            raise TypeError("a figure in a booking is no number")
+            raise TypeError("booking request: each count and each time must be a number")
         return self
 
 
 @dataclass(frozen=True)
 class BookingReference:
-    """The name of a booking between two hosts, and the IP of the one that is talked to."""
+    """Identifies a booking between two hosts; `ip` is the address of the other host."""
 
     host: str
     number: int
@@ -84,14 +84,14 @@
 
 @dataclass(frozen=True)
 class Booking:
-    """The engines of one request: the one that reads its prompt and the one that decodes.
-
-    Both are the same where the decoding engine reads the prompt itself. `tokens` are those that
-    the reader neither keeps nor fetches, `ahead` those to be read at the reader, these included,
-    and `wait` its predicted wait in seconds, both from the moment of booking. `reference` is set
-    where another host keeps the booking; `parts` are those of the prompt, `unread` those of
-    them that the reader does not keep. `source` is the engine that it fetches some of these
-    from, which takes `fetch_seconds`.
+    """The engines of one request: `reader` prefills its prompt, `decoder` decodes.
+
+    Both are the same engine if the decode engine also prefills. `tokens` are the prompt tokens
+    that the prefill engine has neither cached nor fetches. `ahead` are the tokens queued there,
+    these included, and `wait` is its predicted wait in seconds, both at the time of booking.
+    `reference` is set if another host keeps the booking. `parts` are the parts of the prompt,
+    `unread` those that the prefill engine has not cached. `source` is the engine from which it
+    fetches some of them, in `fetch_seconds`.
     """
 
     reader: Instance
@@ -107,13 +107,17 @@
 
     @property
     def direct(self) -> bool:
-        """Whether one engine does both."""
+        """Whether one engine both prefills and decodes."""
         return self.reader is self.decoder
 
 
 @dataclass(frozen=True)
 class NoCapacity:
-    """No engine was found in time: how many waited, and when one is predicted to be free."""
+    """No engine was free in time.
+
+    `waiting` counts the requests that wait; `next_free_seconds` is the predicted time until an
+    engine is free.
+    """
 
     waiting: int
     next_free_seconds: float
--- a/src/swifttrestle/internal/state/closings.py
+++ b/src/swifttrestle/internal/state/closings.py
@@ -1,8 +1,8 @@
-"""Which upstreams are closed to new work for a planned change, by generation.
+"""Upstreams that are closed to new work during a planned change.
 
-Each change of an upstream uses two generations, taken from the number of its order: the
-even one closes, the odd one after it opens again. A higher generation always wins, so news
-may come late, twice and by any way.
+Each change uses two generations, derived from the number of its order: an even one closes the
+upstream, the odd one after it opens it again. The highest generation wins, so that updates may
+arrive late, twice or out of order.
 """
 
 import threading
@@ -10,20 +10,19 @@
 
 
 def closing_generation(number: int) -> int:
-    """Return the generation at which the order of this number closes its upstream."""
+    """Return the generation with which an order closes its upstream."""
     return 2 * number
 
 
 def opening_generation(number: int) -> int:
-    """Return the generation at which the order of this number opens its upstream again."""
+    """Return the generation with which an order opens its upstream again."""
     return 2 * number + 1
 
 
 class ClosingTable:
-    """The highest generation known of each upstream."""
+    """The highest known generation of each upstream."""
 
     def __init__(self) -> None:
-        """Start with no upstream closed."""
         self._lock = threading.Lock()
         self._generations: dict[str, int] = {}
         self._listeners: list[Callable[[], None]] = []
@@ -34,7 +33,7 @@
         self._listeners.append(listener)
 
     def merge(self, generations: dict[str, int]) -> bool:
-        """Take over what is newer; return whether anything was."""
+        """Store the generations that are newer; return whether any was."""
         with self._lock:
             newer = {
                 name: generation
@@ -54,7 +53,7 @@
         return generation % 2 == 0
 
     def snapshot(self) -> dict[str, int]:
-        """Return all generations."""
+        """Return a copy of all generations."""
         with self._lock:
             return dict(self._generations)
 
--- a/src/swifttrestle/internal/state/config.py
+++ b/src/swifttrestle/internal/state/config.py
@@ -1,7 +1,7 @@
-"""The accepted configuration as one process has it in force.
+"""The accepted configuration that is in force in one process.
 
-Shards come from the platform or from peers, in any order and more than once. A shard is
-put in force only if its epoch is higher than the one in force, so nothing ever reverts.
+Shards arrive from the platform or from peers, in any order and possibly more than once. A shard
+comes into force only if its epoch is higher than the current one, so that none ever reverts.
 """
 
 import threading
@@ -19,10 +19,9 @@
 
 
 class ConfigStore:
-    """All accepted shards in force, and the resources they hold together."""
+    """The accepted shards in force and their merged resources."""
 
     def __init__(self) -> None:
-        """Start with nothing in force."""
         self._lock = threading.Lock()
         self._shards: dict[str, ShardCopy] = {}
         self._parsed: dict[str, tuple[Resource, ...]] = {}
@@ -30,7 +29,7 @@
         self.current = ResourceSet()
 
     def subscribe(self, listener: Listener) -> None:
-        """Call the listener with each new configuration, in the order they come in force."""
+        """Call the listener with each new configuration, in the order of coming into force."""
         self._listeners.append(listener)
 
     def apply(self, shards: Iterable[ShardCopy]) -> bool:
@@ -42,8 +41,8 @@
             for shard in changed:
                 self._shards[shard.name] = shard
                 self._parsed[shard.name] = _parse_all(shard)
-            everything = (item for part in self._parsed.values() for item in part)
-            self.current = group_resources(everything)
+            resources = (item for part in self._parsed.values() for item in part)
+            self.current = group_resources(resources)
             for listener in self._listeners:
                 listener(self.current)
         for shard in changed:
@@ -60,7 +59,7 @@
             return {name: shard.epoch for name, shard in self._shards.items()}
 
     def copies(self, names: Iterable[str]) -> list[ShardCopy]:
-        """Return the shards of some names that are in force here."""
+        """Return those of the named shards that are in force here."""
         with self._lock:
             return [self._shards[name] for name in names if name in self._shards]
 
@@ -71,13 +70,13 @@
 
 
 def read_shard(name: str, spec: dict[str, Any]) -> ShardCopy | None:
-    """Return the shard of a stored object, or None where it cannot be read."""
+    """Return the shard of a stored object, or None if it is malformed."""
     epoch, resources = spec.get("epoch"), spec.get("resources")
     if not isinstance(epoch, int) or not isinstance(resources, list):
-        log_warning("an accepted shard cannot be read", shard=name)
+        log_warning("accepted shard malformed", shard=name)
         return None
     if not all(isinstance(item, dict) for item in resources):
-        log_warning("an accepted shard cannot be read", shard=name)
+        log_warning("accepted shard malformed", shard=name)
         return None
     return ShardCopy(name, epoch, resources)
 
@@ -89,7 +88,7 @@
             case Success(resource):
                 parsed.append(resource)
             case Failure(faults):
-                # A newer process may know fields that this one does not: the rest of the
-                # shard stays usable while versions of the program are mixed.
-                log_warning("an accepted resource cannot be read", fault=str(faults[0]))
+                # During a rolling upgrade a newer process may write fields that this one does not
+                # know: the rest of the shard stays usable.
+                log_warning("accepted resource skipped", fault=str(faults[0]))
     return tuple(parsed)
--- a/src/swifttrestle/internal/state/config_freshness.py
+++ b/src/swifttrestle/internal/state/config_freshness.py
@@ -1,4 +1,4 @@
-"""Until when the version in force is known to have been the newest one."""
+"""How recently the configuration version in force was confirmed to be the newest."""
 
 from collections.abc import Callable
 
@@ -6,38 +6,38 @@
 
 
 class ConfigurationFreshness:
-    """The latest time at which nothing newer than the version in force was acknowledged.
+    """Tracks the latest time at which no version newer than the one in force was acknowledged.
 
-    All times are steady seconds of this host, suspended ones among them. A proof is dated by the
-    moment at which its question was *sent*: the answer may have waited in a socket while this
-    process stood still, and tells nothing of the time after it was made.
+    Times are seconds of this host's steady clock, which counts suspended time. A confirmation is
+    dated by the time at which its query was *sent*: the reply may have waited in a socket while
+    this process was suspended.
     """
 
     def __init__(self, find_version: Callable[[], int]) -> None:
-        """Judge by the version in force, 0 where none is known."""
+        """Use `find_version`, which returns the version in force or 0."""
         self._find_version = find_version
         self._confirmed_at = NEVER
-        # A proof of a version that this host does not have yet.
-        self._ahead: tuple[int, float] = (0, NEVER)
+        # The latest confirmation of a version that is not in force here yet, and its time.
+        self._pending: tuple[int, float] = (0, NEVER)
 
     def note(self, version: int, at: float) -> None:
-        """Take over that nothing newer than a version was acknowledged at a time.
+        """Record that no version newer than `version` was acknowledged at the time `at`.
 
-        It also holds for any later version that is in force here: what that took away, it took
-        away after this time.
+        This also confirms any later version in force here: whatever it removed, it removed after
+        this time.
         """
         if not version:
             return
         if version <= self._find_version():
             self._confirmed_at = max(self._confirmed_at, at)
-        elif at >= self._ahead[1]:
-            self._ahead = (version, at)
+        elif at >= self._pending[1]:
+            self._pending = (version, at)
 
     @property
     def confirmed_at(self) -> float:
-        """The time up to which the version in force is proved, `NEVER` where it is not."""
-        version, at = self._ahead
+        """The time up to which the version in force is confirmed, or `NEVER`."""
+        version, at = self._pending
         if version and version <= self._find_version():
             self._confirmed_at = max(self._confirmed_at, at)
-            self._ahead = (0, NEVER)
+            self._pending = (0, NEVER)
         return self._confirmed_at
--- a/src/swifttrestle/internal/state/crash_records.py
+++ b/src/swifttrestle/internal/state/crash_records.py
@@ -1,4 +1,4 @@
-"""What is held against a request: the crashes of upstreams that it was open at."""
+"""Requests that were open at upstreams as these crashed."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """The end of one start of an upstream, at the loop's time `at`."""
+    """The crash of one incarnation of an upstream, named by `start`, at the loop's time `at`."""
 
     start: str
     at: float
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True)
 class CrashRecord:
-    """A request, with the latest crashes that it was open at since its last answer."""
+    """A request and the latest crashes during which it was open, since its last response."""
 
     name: RequestFingerprint
     crashes: tuple[Crash, ...]
 
     @property
     def last_crash_at(self) -> float:
-        """When the latest crash was, in the loop's time."""
+        """The event loop's time of the latest crash."""
         return max(crash.at for crash in self.crashes)
--- a/src/swifttrestle/internal/state/declared.py
+++ b/src/swifttrestle/internal/state/declared.py
@@ -1,18 +1,18 @@
-"""What operators and upstreams have declared: routes, services, limits, upstream records."""
+"""Declarations of operators and upstreams: routes, services, limits and upstream records."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class RetrySafety(Enum):
-    """How often a request of a route may run."""
+    """Whether a request of a route may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at most once"
 
 
 class Role(Enum):
-    """What an engine does: read prompts, or make tokens (and read prompts slowly)."""
+    """The work of an engine: prefill, or decode with slower prefill; NONE for other upstreams."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class EngineTraits:
-    """What a service declares of its engines; sizes in tokens and bytes, times in seconds."""
+    """Properties that a service declares for its engines."""
 
     slots: int
     kv_tokens: int
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True)
 class Scaling:
-    """In which bounds the upstreams of a service may be ordered, and what they cost.
+    """Bounds on the number of upstreams of a service, and their prices.
 
-    `least` and `most` hold for each availability zone, for both kinds of upstreams together.
-    `prices` are those of one second of a lasting upstream, by zone; one that may be reclaimed
-    costs `reclaimable_price` of it, 1 where the platform offers none.
+    `least` and `most` bound the upstreams of an availability zone, non-reclaimable and reclaimable
+    ones together. `prices` is the price of one second of a non-reclaimable upstream, by zone; a
+    reclaimable one costs `reclaimable_price` times as much, 1 if the platform offers none.
     """
 
     least: int
@@ -47,13 +47,13 @@
     reclaimable_price: float = 1.0
 
     def find_price(self, zone: str, reclaimable: bool) -> float:
-        """Return the price of one second of an upstream of a kind in a zone."""
+        """Return the price of one second of an upstream in a zone."""
         return self.prices.get(zone, 1.0) * (self.reclaimable_price if reclaimable else 1.0)
 
 
 @dataclass(frozen=True)
 class ServiceDeclaration:
-    """One service; `engine` is None for a plain service, `scaling` for a fixed number."""
+    """One service; `engine` is None for a plain service, `scaling` for a fixed size."""
 
     name: str
     max_connections: int
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True)
 class Workspace:
-    """Who may call, with a priority of its own; None where its routes' priorities hold.
+    """A group of callers; `priority` overrides that of the routes unless it is None.
 
-    Of its keys only digests are kept, so that no log, dump or error can show a key.
+    Only digests of its keys are stored, so that no log, dump or error can reveal a key.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """One share of a route's traffic."""
+    """A service that gets a weighted share of a route's traffic."""
 
     service: str
     weight: float
@@ -83,7 +83,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """One route; times in seconds, `priority` 0 is the most urgent."""
+    """One route.
+
+    Times are in seconds; `objective` bounds the time to the first token and `gap_objective` the
+    time between two tokens. The `priority` 0 is the most urgent.
+    """
 
     name: str
     host: str
@@ -102,10 +106,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a caller may send; sizes in bytes, times in seconds.
-
-    The defaults hold only until the first configuration is known.
-    """
+    """Limits on callers' requests; the defaults apply until the first configuration is known."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -115,10 +116,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One whole version of the operators' configuration.
-
-    `workspaces` is None where callers need no key.
-    """
+    """One version of the operators' configuration; `workspaces` is None if callers need no key."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -129,10 +127,10 @@
 
 @dataclass(frozen=True)
 class UpstreamRecord:
-    """What an upstream says of itself in the discovery list.
+    """The record of an upstream in the discovery list.
 
-    An upstream may start again under the `instance` that it had; `born` then tells its starts
-    apart. It is the Unix time of the start in milliseconds, 0 where the upstream tells none.
+    An upstream may restart under the same `instance`; `born` tells its incarnations apart. It is
+    the Unix time of the start in milliseconds, 0 if the upstream does not report it.
     """
 
     instance: str
@@ -144,14 +142,14 @@
     role: Role = Role.NONE
     born: int = 0
     reclaimable: bool = False
-    # Seconds to its end as it told them when it began to leave, None where it did not.
+    # Seconds to its end, as reported when it began to leave; None if not reported.
     leaves_in: float | None = None
 
     @property
     def start(self) -> str:
-        """The name of one start: what is believed, open or ordered there goes by it.
+        """The unique name of this incarnation, which keys all its state and orders.
 
-        No two starts share a name, also where an instance that tells no start has an `@` in it.
+        Names stay unique even for an instance without `born` whose name contains an `@`.
         """
         if not self.born and "@" not in self.instance:
             return self.instance
--- a/src/swifttrestle/internal/state/duties.py
+++ b/src/swifttrestle/internal/state/duties.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties has written down: orders, capacity and usage, on one lease."""
+"""The stored lease on the fleet's duties, with the holder's orders, capacity and usage reports."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
@@ -8,7 +8,7 @@
 from swifttrestle.internal.checks import MAX_INT64, check_integer
 from swifttrestle.internal.state.declared import Role
 
-# Windows of usage kept on the lease, newest last: four times as many as may be due at once.
+# Usage windows kept on the lease, newest last: four times as many as can be due at once.
 KEPT_REPORTS = 12
 
 T = TypeVar("T")
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class RecordedOrder:
-    """A role order as written down before it is sent."""
+    """A role order, recorded before it is sent."""
 
     number: int
     engine: str
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True)
 class RecordedCapacity:
-    """How many upstreams of a kind were ordered last for a service in a zone.
+    """The number of upstreams of one kind last ordered for a service in a zone.
 
-    `need` is how many the whole service had to have then, by the holder that ordered; 0 where that
-    was not known yet.
+    `need` is the number that the whole service needed at that time, by the holder that ordered; 0
+    if it was not known.
     """
 
     service: str
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True)
 class RecordedUsage:
-    """One window's report as written down before it is sent; it never changes after that.
+    """The usage report of one window, recorded before it is sent and never changed after that.
 
-    `taken` says that the platform has acknowledged it, or that it is left out for good.
+    `taken` is set when the platform has acknowledged it, or when it is given up.
     """
 
     window: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class UsageDraft:
-    """What was counted of a window that is still open, and by which starts of hosts."""
+    """The counts so far of a window that is still open, and the host incarnations counted."""
 
     window: int
     counts: Mapping[str, int]
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class DutyLease:
-    """The lease as stored; `token` rises with each holder, `orders` are the latest ones."""
+    """The stored lease; `token` rises with each holder, `orders` are the latest ones."""
 
     holder: str
     incarnation: int
@@ -70,14 +70,14 @@
     capacity: tuple[RecordedCapacity, ...] = ()
     usage: tuple[RecordedUsage, ...] = ()
     drafts: tuple[UsageDraft, ...] = ()
-    # The store's epoch in which the holder took it; in a later one it is an old copy.
+    # The store's epoch in which the holder took the lease; in a later epoch it is an old copy.
     epoch: int = 0
-    # Rises with each write, so that none leaves the lease as it was: a challenger waits for one
-    # that stays unchanged.
+    # Rises with each write, so that each renewal changes the lease: other hosts take it over once
+    # it stays unchanged for long enough.
     writes: int = 0
 
     def spec(self) -> dict[str, Any]:
-        """Return the stored form; what is empty is left out, as older versions wrote none."""
+        """Return the stored form; empty fields are left out, as in older versions."""
         parts = {
             "capacity": [vars(item) for item in self.capacity],
             "usage": [{**vars(item), "counts": dict(item.counts)} for item in self.usage],
@@ -97,13 +97,13 @@
         }
 
     def with_capacity(self, order: RecordedCapacity) -> "DutyLease":
-        """Return the lease with an order in place of the last one of its subject and kind."""
+        """Return the lease with the last order for the same service, zone and kind replaced."""
         subject = (order.service, order.zone, order.reclaimable)
         others = (i for i in self.capacity if (i.service, i.zone, i.reclaimable) != subject)
         return replace(self, capacity=(*others, order))
 
     def with_former(self, former: "DutyLease") -> "DutyLease":
-        """Return the lease with what its last holder knows beyond an older copy of it."""
+        """Return this restored lease, completed by the newer one that its last holder knows."""
         reports = {item.window: item for item in self.usage}
         for item in former.usage:
             known = reports.get(item.window)
@@ -119,7 +119,7 @@
         )
 
     def with_usage(self, report: RecordedUsage) -> "DutyLease":
-        """Return the lease with a window's report, which takes the place of its draft."""
+        """Return the lease with a window's report in place of its draft."""
         others = [item for item in self.usage if item.window != report.window]
         kept = sorted((*others, report), key=lambda item: item.window)[-KEPT_REPORTS:]
         drafts = tuple(item for item in self.drafts if item.window > report.window)
@@ -127,7 +127,7 @@
 
 
 def read_duty_lease(spec: Any) -> DutyLease:
-    """Return the lease of a stored form; raise BadEntryError."""
+    """Parse the stored form of a lease; raise BadEntryError."""
     match spec:
         case {
             "holder": str(holder),
@@ -146,7 +146,7 @@
                 _read_number(spec, "epoch"),
                 _read_number(spec, "writes"),
             )
-    raise BadEntryError("a lease", "spec", spec, "a field is missing or of another type")
+    raise BadEntryError("a lease", "spec", spec, "a field is missing or has the wrong type")
 
 
 def _read_number(spec: Mapping[str, Any], name: str) -> int:
@@ -159,7 +159,7 @@
 def _read_list(spec: Mapping[str, Any], name: str, read: Callable[[Any], T]) -> tuple[T, ...]:
     raw = spec.get(name, [])
     if not isinstance(raw, list):
-        raise BadEntryError("a lease", name, raw, "it is no list")
+        raise BadEntryError("a lease", name, raw, "it must be a list")
     return tuple(read(item) for item in raw)
 
 
@@ -168,7 +168,7 @@
         case {"number": int(number), "engine": str(engine), "role": str(role)}:
             if role in (Role.PREFILL.value, Role.DECODE.value):
                 return RecordedOrder(number, engine, role)
-    raise BadEntryError("a lease", "orders", raw, "it is no order")
+    raise BadEntryError("a lease", "orders", raw, "a field of the order is missing or invalid")
 
 
 def _read_capacity(raw: Any) -> RecordedCapacity:
@@ -181,26 +181,26 @@
             "need": int(need),
         } if 0 <= count <= MAX_INT64 and 0 <= need <= MAX_INT64:
             return RecordedCapacity(service, zone, reclaimable, count, need)
-    raise BadEntryError("a lease", "capacity", raw, "it is no order of upstreams")
+    raise BadEntryError("a lease", "capacity", raw, "a field of the order is missing or invalid")
 
 
 def _read_usage(raw: Any) -> RecordedUsage:
     match raw:
         case {"window": int(window), "counts": dict(counts), "taken": bool(taken)}:
             return RecordedUsage(window, _read_counts(counts), taken)
-    raise BadEntryError("a lease", "usage", raw, "it is no report")
+    raise BadEntryError("a lease", "usage", raw, "a field of the report is missing or invalid")
 
 
 def _read_draft(raw: Any) -> UsageDraft:
     match raw:
         case {"window": int(window), "counts": dict(counts), "sources": list(sources)}:
             return UsageDraft(window, _read_counts(counts), tuple(map(str, sources)))
-    raise BadEntryError("a lease", "drafts", raw, "it is no draft of a report")
+    raise BadEntryError("a lease", "drafts", raw, "a field of the draft is missing or invalid")
 
 
 def _read_counts(raw: Mapping[Any, Any]) -> dict[str, int]:
     for name, count in raw.items():
         whole = isinstance(count, int) and not isinstance(count, bool)
         if not isinstance(name, str) or not whole or count < 0:
-            raise BadEntryError("a lease", "counts", count, "it is no count of a workspace")
+            raise BadEntryError("a lease", "counts", count, "each count must be an integer from 0")
     return dict(raw)
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams that discovery lists, with what this host and its peers have open there."""
+"""The upstreams in the discovery list, with the open work of this host and its peers there."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -8,32 +8,32 @@
 from swifttrestle.internal.state.declared import EngineTraits, Role, UpstreamRecord
 from swifttrestle.internal.state.prompt_cache import PromptCache, SentPrompt
 
-# Tokens a second that an engine reads until its speed has been measured; low, so that the
-# first measurement corrects it upwards and no engine is flooded before.
+# Assumed prefill rate in tokens per second of an engine without samples; low, so that no engine is
+# overloaded before the first sample raises it.
 DEFAULT_READ_RATE = 100_000.0
-# Share of the newest measurement in the learned speed: about ten requests of memory.
-LEARN_SHARE = 0.1
-# Measurements below this many tokens say more of the network than of the engine.
-LEAST_LEARN_TOKENS = 512
-# A decoding engine reads prompts at half the pace of a prefilling one (engines' protocol).
+# Weight of a new sample in the moving average of the prefill rate.
+RATE_SAMPLE_WEIGHT = 0.1
+# Samples of fewer tokens are ignored: the network dominates their time.
+MIN_SAMPLE_TOKENS = 512
+# Prefill rate of an engine in the decode role, relative to the prefill role (engine protocol).
 DECODE_READ_SHARE = 0.5
-# Work that peers report counts for this long, in seconds; four missed reports at their pace.
+# Seconds for which a peer's reported work counts, four of its report intervals.
 PEER_WORK_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class OpenWork:
-    """What is open at an instance: prompt tokens to be read, and requests."""
+    """Open work at an instance: prompt tokens that await prefill, and requests."""
 
     tokens: int = 0
     requests: int = 0
 
     def plus(self, other: "OpenWork") -> "OpenWork":
-        """Return both together."""
+        """Return the sum of both."""
         return OpenWork(self.tokens + other.tokens, self.requests + other.requests)
 
     def minus(self, other: "OpenWork") -> "OpenWork":
-        """Return what is left without the other."""
+        """Return the difference."""
         return OpenWork(self.tokens - other.tokens, self.requests - other.requests)
 
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class Instance:
-    """One start of an upstream; times are the loop's seconds."""
+    """One incarnation of an upstream; times are seconds of the event loop's clock."""
 
     record: UpstreamRecord
     own: OpenWork = NO_WORK
@@ -52,98 +52,96 @@
     ordered_role: Role | None = None
     role_changing_until: float = float("-inf")
     gone: bool = False
-    # Whether a later start has taken its place: nothing that it kept is left.
+    # Whether a later incarnation has replaced it, so that its cache is lost.
     replaced: bool = False
     cache: PromptCache = field(default_factory=PromptCache)
 
     @property
     def name(self) -> str:
-        """The name of this start; what hosts tell each other goes by it."""
+        """The name of this incarnation, by which hosts refer to it in messages."""
         return self.record.start
 
     @property
     def role(self) -> Role:
-        """Its role, by the last order where the record does not show that yet."""
+        """Its role; the last ordered one until the record shows it."""
         return self.ordered_role or self.record.role
 
     @property
     def total(self) -> OpenWork:
-        """What is open here by all hosts."""
+        """The open work of all hosts."""
         return self.own.plus(self.peers)
 
     @property
     def effective_read_rate(self) -> float:
-        """Prompt tokens that it reads a second in its present role."""
+        """Prompt tokens per second that it prefills in its current role."""
         share = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
         return self.read_rate * share
 
     @property
     def leaving(self) -> bool:
-        """Whether it gets no new work: it said that it leaves, or is not listed any more."""
+        """Whether it gets no new work, because it is draining or no longer listed."""
         return self.gone or self.record.leaving
 
     def takes_work(self, role: Role, now: float) -> bool:
-        """Return whether it takes new work of a role now."""
+        """Return whether it accepts new work of a role now."""
         return not self.leaving and self.role is role and now >= self.role_changing_until
 
     def predict_wait(self) -> float:
-        """Return the seconds until what is open here has been read."""
+        """Return the predicted seconds until its open work has been prefilled."""
         return max(0, self.total.tokens) / self.effective_read_rate
 
     def update_read_rate(self, tokens: int, seconds: float) -> None:
-        """Learn the speed from tokens that were read in some time, with all that stood before."""
-        if tokens < LEAST_LEARN_TOKENS or seconds <= 0:
+        """Update the prefill rate by one prompt; `tokens` include those queued before it."""
+        if tokens < MIN_SAMPLE_TOKENS or seconds <= 0:
             return
         share = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
-        self.read_rate += LEARN_SHARE * (tokens / seconds / share - self.read_rate)
+        self.read_rate += RATE_SAMPLE_WEIGHT * (tokens / seconds / share - self.read_rate)
 
 
-def _never(_: str) -> bool:
-    """Return that it has not."""
+def _return_false(_: str) -> bool:
     return False
 
 
 @dataclass
 class _PeerWork:
-    at: float
+    received_at: float
     work: dict[str, OpenWork] = field(default_factory=dict)
 
 
 class Fleet:
-    """All instances by service."""
+    """All listed upstream instances."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        # The starts in use, by their names.
+        # The current incarnations, by name.
         self.instances: dict[str, Instance] = {}
-        # The name of the start in use of each instance that the list names.
+        # The name of the current incarnation, by the instance in the discovery list.
         self._starts: dict[str, str] = {}
-        # Called with a start that a later one has replaced, and with one that the list has lost.
+        # Called with an incarnation that a later one has replaced, or that is no longer listed.
         self.on_replaced: Callable[[Instance], None] = do_nothing
         self.on_removed: Callable[[Instance], None] = do_nothing
-        # The services that the configuration in force names, None while there is none.
+        # The services in the configuration in force, None if there is no configuration.
         self.declared: frozenset[str] | None = None
-        # The loop's time at which the discovery list was last confirmed.
+        # The event loop's time at which the discovery list was last confirmed.
         self.confirmed_at = float("-inf")
-        # What services declare of their engines, by service.
+        # Declared properties of engines, by service.
         self.traits: dict[str, EngineTraits] = {}
-        # Whether a start has said in its own answers that it leaves.
-        self.announced_leaving: Callable[[str], bool] = _never
+        # Returns whether an incarnation has announced in its responses that it is draining.
+        self.announced_leaving: Callable[[str], bool] = _return_false
         self._services: dict[str, dict[str, Instance]] = defaultdict(dict)
         self._peers: dict[str, _PeerWork] = {}
 
     def list_service(self, service: str) -> list[Instance]:
-        """Return the instances of a service that are not leaving."""
+        """Return the instances of a service, without those that are draining."""
         if not self.is_declared(service):
             return []
         return [item for item in self._services[service].values() if not item.record.leaving]
 
     def list_leaving(self, service: str) -> set[str]:
-        """Return the names of a service's instances that are leaving."""
+        """Return the names of a service's instances that are draining."""
         return {name for name, item in self._services[service].items() if item.record.leaving}
 
     def list_engine_services(self) -> list[str]:
-        """Return the services of which model engines are listed."""
+        """Return the services that have listed model engines."""
         return [
             service
             for service, items in self._services.items()
@@ -152,38 +150,38 @@
         ]
 
     def is_engine(self, instance: str) -> bool:
-        """Return whether an instance is a model engine that is known here."""
+        """Return whether an instance is a known model engine."""
         known = self.instances.get(instance)
         return known is not None and known.record.role is not Role.NONE
 
     def is_declared(self, service: str) -> bool:
-        """Return whether a service's instances may be used; the others are kept aside."""
+        """Return whether the configuration declares a service; others are not used."""
         return self.declared is None or service in self.declared
 
     def list_names(self) -> set[str]:
-        """Return the instances in use as the discovery list names them."""
+        """Return the current instances, as named in the discovery list."""
         return set(self._starts)
 
     def knows(self, instance: str) -> bool:
-        """Return whether an instance that the list names is in use."""
+        """Return whether an instance of the discovery list is known."""
         return instance in self._starts
 
     def find_start(self, instance: str) -> Instance | None:
-        """Return the start in use of an instance that the list names."""
+        """Return the current incarnation of an instance of the discovery list, or None."""
         name = self._starts.get(instance)
         return None if name is None else self.instances[name]
 
     def is_stale_record(self, record: UpstreamRecord) -> bool:
-        """Return whether a record is of an earlier start than the one in use."""
+        """Return whether a record is of an earlier incarnation than the current one."""
         known = self.find_start(record.instance)
         return known is not None and record.born < known.record.born
 
     def put(self, record: UpstreamRecord) -> bool:
-        """Take a record over; return whether anything but its heartbeat changed.
+        """Store a record; return whether anything but its heartbeat changed.
 
-        A later start ends all that was believed of the one before, open work included. A record
-        of an earlier start than the one in use is an old word and changes nothing. What a start
-        has said itself counts against a list that still calls it ready: the store may be away.
+        A later incarnation discards all state of the one before, including its open work. A record
+        of an earlier one is stale and ignored. An incarnation that has announced that it is
+        draining counts as such even if the list says otherwise: the store may be unavailable.
         """
         if not record.leaving and self.announced_leaving(record.start):
             record = replace(record, leaving=True)
@@ -194,13 +192,13 @@
             self._replace(known)
             known = None
         if known is None:
-            known = Instance(record, read_rate=self._guess_rate(record.service))
+            known = Instance(record, read_rate=self._estimate_rate(record.service))
             self.instances[record.start] = known
             self._starts[record.instance] = record.start
         elif known.record.service != record.service:
             self._services[known.record.service].pop(known.name, None)
         if known.record.role is not record.role:
-            # The record has caught up with an order, or the engine was started anew.
+            # The record reflects an order by now, or the engine has restarted.
             known.role_changing_until = float("-inf")
             known.ordered_role = None
         known.record = record
@@ -208,7 +206,7 @@
         return True
 
     def note_leaving(self, start: str) -> None:
-        """Take over that a start has said that it leaves."""
+        """Mark an incarnation as draining after it has announced so."""
         known = self.instances.get(start)
         if known is not None:
             self.put(known.record)
@@ -219,7 +217,7 @@
         self.on_replaced(former)
 
     def note_ordered_role(self, instance: str, role: Role, ready_at: float) -> None:
-        """Take an engine as changing to a role until `ready_at`, and as in it after that."""
+        """Treat an engine as changing to a role until `ready_at`, and as in that role after it."""
         known = self.instances.get(instance)
         if known is None or known.role is role:
             return
@@ -227,7 +225,7 @@
         known.role_changing_until = ready_at
 
     def remove(self, instance: str) -> bool:
-        """Drop an instance that the list names; return whether it was known."""
+        """Remove an instance of the discovery list; return whether it was known."""
         known = self.find_start(instance)
         if known is None:
             return False
@@ -242,40 +240,41 @@
         self._services[start.record.service].pop(start.name, None)
 
     def note_peer(self, peer: str, work: dict[str, OpenWork], now: float) -> None:
-        """Take over what a peer has open."""
+        """Replace the open work that a peer reports."""
         before = self._peers.get(peer)
         if before is not None:
-            self._add(before.work.items(), sign=-1)
+            self._add_peer_work(before.work.items(), sign=-1)
         self._peers[peer] = _PeerWork(now, work)
-        self._add(work.items(), sign=1)
+        self._add_peer_work(work.items(), sign=1)
 
     def note_prompt(self, prompt: SentPrompt) -> None:
-        """Take an engine as keeping the parts of a prompt that was sent to it."""
+        """Record the parts of a prompt sent to an engine as cached there."""
         known = self.instances.get(prompt.engine)
         if known is not None:
             traits = self.traits.get(known.record.service)
             known.cache.note(prompt.parts, traits.kv_tokens if traits else 0, prompt.read)
 
     def expire_peers(self, now: float) -> None:
-        """Forget the work of peers that have been silent."""
+        """Drop the work of peers that have stopped reporting."""
         for peer, known in list(self._peers.items()):
-            if now - known.at > PEER_WORK_SECONDS:
-                self._add(known.work.items(), sign=-1)
+            if now - known.received_at > PEER_WORK_SECONDS:
+                self._add_peer_work(known.work.items(), sign=-1)
                 del self._peers[peer]
 
     def own_work(self) -> dict[str, OpenWork]:
-        """Return what this host has open, by instance."""
+        """Return the open work of this host, by instance."""
         return {name: item.own for name, item in self.instances.items() if item.own != NO_WORK}
 
-    def _add(self, items: Iterable[tuple[str, OpenWork]], sign: int) -> None:
+    def _add_peer_work(self, items: Iterable[tuple[str, OpenWork]], sign: int) -> None:
         for name, work in items:
             instance = self.instances.get(name)
             if instance is None:
                 continue
             both = instance.peers.plus(work) if sign > 0 else instance.peers.minus(work)
-            # A peer may report an instance before this host knows it.
+            # The peer's earlier report may have preceded this instance's listing here, so that
+            # less was added than is subtracted now.
             instance.peers = OpenWork(max(0, both.tokens), max(0, both.requests))
 
-    def _guess_rate(self, service: str) -> float:
+    def _estimate_rate(self, service: str) -> float:
         rates = [item.read_rate for item in self._services[service].values()]
         return sum(rates) / len(rates) if rates else DEFAULT_READ_RATE
--- a/src/swifttrestle/internal/state/median_clock.py
+++ b/src/swifttrestle/internal/state/median_clock.py
@@ -1,8 +1,7 @@
-"""The time of day as most hosts take it to be.
+"""A wall clock shared by all hosts: the median of their clocks.
 
-A single host's clock may jump by seconds, on some hosts at once. What has to fall into the same
-window of time at all hosts goes by the median of what they say, counted on by this host's steady
-clock.
+The wall clocks of some hosts may jump by seconds, even at the same time. Time windows that must
+agree on all hosts use the median of the hosts' clocks, advanced by this host's steady clock.
 """
 
 import statistics
@@ -11,8 +10,8 @@
 
 from swifttrestle.internal.clock import read_boottime_seconds
 
-# Seconds for which another host's word counts: some questions between two hosts.
-WORD_SECONDS = 5.0
+# Seconds for which another host's reported time is used: several query intervals.
+REPORT_SECONDS = 5.0
 
 
 class MedianClock:
@@ -23,22 +22,22 @@
         read_steady: Callable[[], float] = read_boottime_seconds,
         read_wall: Callable[[], float] = time.time,
     ) -> None:
-        """Count by a steady clock; begin with this host's own time of day."""
+        """Advance by the steady clock; use this host's wall clock until others report."""
         self._read_steady = read_steady
         self._read_wall = read_wall
-        # Unix time less this host's steady time, by the host that told it, and when it did.
-        self._words: dict[str, tuple[float, float]] = {}
+        # Reported Unix time minus this host's steady time, and the time of the report, by host.
+        self._reports: dict[str, tuple[float, float]] = {}
 
     def note(self, host: str, wall: float, age: float = 0.0) -> None:
-        """Take over a host's Unix time, as it was `age` seconds ago."""
+        """Record the Unix time that a host reported `age` seconds ago."""
         now = self._read_steady()
-        self._words[host] = (wall + age - now, now)
+        self._reports[host] = (wall + age - now, now)
 
     def now(self) -> float:
-        """Return the Unix time as most hosts take it to be."""
+        """Return the median Unix time of the hosts."""
         now = self._read_steady()
-        self._words = {
-            host: word for host, word in self._words.items() if now - word[1] < WORD_SECONDS
+        self._reports = {
+            host: item for host, item in self._reports.items() if now - item[1] < REPORT_SECONDS
         }
-        offsets = [offset for offset, _ in self._words.values()]
+        offsets = [offset for offset, _ in self._reports.values()]
         return now + statistics.median([*offsets, self._read_wall() - now])
--- a/src/swifttrestle/internal/state/members.py
+++ b/src/swifttrestle/internal/state/members.py
@@ -1,13 +1,13 @@
-"""The hosts that live."""
+"""Live hosts."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Member:
-    """One live host: where its peers reach it, its availability zone, its link's speed.
+    """One live host: its address, availability zone and link speed.
 
-    The speed is in megabits a second, 0 where it is not known.
+    `link_mbps` is in megabits per second, 0 if unknown.
     """
 
     host: str
--- a/src/swifttrestle/internal/state/prefixes.py
+++ b/src/swifttrestle/internal/state/prefixes.py
@@ -1,7 +1,7 @@
-"""Which engine is believed to hold which prompt prefixes.
+"""An estimate of the prompt prefixes in the cache of each engine.
 
-Own sends are noted at once; cache events come late and with gaps and correct them. A block
-that is believed in wrongly costs some prefill, never a wrong answer.
+Requests sent by this process update it at once; cache events, which arrive late and with gaps,
+correct it. A wrong entry costs some prefill, never a wrong response.
 """
 
 from collections import OrderedDict
@@ -9,35 +9,34 @@
 
 from swifttrestle.internal.protocol.prefixes import BLOCK_TOKENS
 
-BLOCK_LIMIT = 50_000
+MAX_BLOCKS_PER_ENGINE = 50_000
 
 
 class PrefixIndex:
-    """Blocks believed to be cached, by engine; used under its owner's lock."""
+    """The blocks estimated to be cached, by engine; its owner's lock guards it."""
 
     def __init__(self) -> None:
-        """Start with nothing believed."""
         self._blocks: dict[str, OrderedDict[int, None]] = {}
 
     def note_stored(self, engine: str, blocks: Sequence[int]) -> None:
-        """Believe that an engine holds these blocks."""
+        """Record blocks as cached by an engine."""
         held = self._blocks.setdefault(engine, OrderedDict())
         for block in blocks:
             held[block] = None
             held.move_to_end(block)
-        while len(held) > BLOCK_LIMIT:
+        while len(held) > MAX_BLOCKS_PER_ENGINE:
             held.popitem(last=False)
 
     def note_dropped(self, engine: str, block: int) -> None:
-        """Believe it no longer."""
+        """Record a block as evicted by an engine."""
         self._blocks.get(engine, OrderedDict()).pop(block, None)
 
     def forget(self, engine: str) -> None:
-        """Drop all beliefs on an engine, which has started anew."""
+        """Drop all entries of an engine that has restarted."""
         self._blocks.pop(engine, None)
 
     def count_cached(self, engine: str, blocks: Sequence[int]) -> int:
-        """Return the prompt tokens that an engine is believed to hold."""
+        """Return the estimated number of prompt tokens that an engine has cached."""
         held = self._blocks.get(engine)
         if not held:
             return 0
--- a/src/swifttrestle/internal/state/routes.py
+++ b/src/swifttrestle/internal/state/routes.py
@@ -1,4 +1,4 @@
-"""The route table: the route of a host with the longest prefix of the path."""
+"""The route table, which finds the route with the longest matching path prefix of a host."""
 
 import random
 from collections import defaultdict
@@ -8,16 +8,16 @@
 
 
 class RouteTable:
-    """Finds routes by host and prefix; built once for each configuration version.
+    """Finds routes by host and path prefix; built once per configuration version.
 
-    A look-up walks up the path one segment at a time, so its cost grows with the depth of
-    the path and not with the number of routes.
+    A lookup walks up the path one segment at a time, so its cost depends on the depth of the path
+    and not on the number of routes.
     """
 
     def __init__(self, configuration: Configuration) -> None:
         """Index the routes of a configuration."""
         self.configuration = configuration
-        # None where callers need no key.
+        # None if callers need no key.
         self.keys: WorkspaceKeys | None = None
         if configuration.workspaces is not None:
             self.keys = WorkspaceKeys(configuration.workspaces)
@@ -32,10 +32,10 @@
                 self._priorities[target.service] = min(known, route.priority)
 
     def is_urgent(self, route: Route, service: str, workspace: Workspace | None = None) -> bool:
-        """Return whether nobody's requests to the service have a higher priority than these.
+        """Return whether no other requests to the service have a higher priority.
 
-        A workspace's own priority takes the place of the route's, and is compared with those of
-        the other workspaces.
+        A workspace's own priority overrides the route's, and is compared with those of the other
+        workspaces.
         """
         if workspace is not None and workspace.priority is not None and self.keys is not None:
             highest = self.keys.highest_priority
@@ -43,7 +43,7 @@
         return route.priority <= self._priorities.get(service, route.priority)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or None; `host` may carry a port."""
+        """Return the route of a request, or None; `host` may include a port."""
         prefixes = self._hosts.get(host.partition(":")[0].lower())
         if prefixes is None:
             return None
@@ -57,7 +57,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Return a service of the route, drawn by the declared weights."""
+    """Return a random service of the route, by the declared weights."""
     if len(route.targets) == 1:
         return route.targets[0].service
     names = [target.service for target in route.targets]
--- a/src/swifttrestle/internal/state/store_epochs.py
+++ b/src/swifttrestle/internal/state/store_epochs.py
@@ -1,4 +1,4 @@
-"""Which history of the store an answer belongs to: a store may come back from an older copy."""
+"""Epochs of the store, which change when the store is restored from an older copy."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,82 +7,81 @@
 from swifttrestle.internal.callbacks import do_nothing
 from swifttrestle.internal.event_log import log_event
 
-# Seconds for which a store must have named nothing but a lower epoch until that one counts: far
-# over the time in which answers from before a return may still arrive.
-FALL_SECONDS = 3.0
+# Seconds for which the store must name only lower epochs until a lower one is accepted: far longer
+# than responses from before a restore can be delayed.
+LOWER_EPOCH_SECONDS = 3.0
 
 
 @dataclass(frozen=True, order=True)
 class StoreRevision:
-    """A revision of the store in the epoch that gave it out.
+    """A revision of the store, and the epoch in which it was issued.
 
-    With each return from a copy the epoch rises and numbers are given out again, so that numbers
-    of two epochs say nothing about each other. A store that names no epoch is in epoch 0.
+    Each restore from a copy raises the epoch and issues revision numbers again, so that numbers of
+    two epochs cannot be compared. A store that names no epoch is in epoch 0.
     """
 
     epoch: int
     number: int
 
     def __str__(self) -> str:
-        """Return the form that lines show."""
+        """Return the form shown in log lines."""
         return f"{self.epoch}.{self.number}"
 
 
-# Before all that any store gives out.
+# Precedes all revisions that a store issues.
 NO_REVISION = StoreRevision(0, 0)
 
 
 class StoreEpochs:
-    """The epoch that the store is in, by what its answers name."""
+    """Tracks the store's current epoch by its responses."""
 
     def __init__(self) -> None:
-        """Start with no answer."""
         self.current = 0
-        # The loop's time at which the current epoch was first named; 0 where none ever was.
+        # The event loop's time at which the current epoch was first named, 0 if none was.
         self.since = 0.0
-        # How often the store has come back since this process first heard of an epoch.
+        # The number of restores since this process first received an epoch.
         self.returns = 0
-        # Called after each return.
+        # Called after each restore.
         self.on_return: Callable[[], None] = do_nothing
-        self._named = False
+        self._has_epoch = False
         self._lower_since: float | None = None
-        self._told_odd = ""
+        self._logged_text = ""
 
     def take(self, named: int | None, now: float) -> None:
-        """Take over what an answer names, None where it names none; raise OldEpochError.
+        """Update by the epoch that a response names, None if none; raise OldEpochError.
 
-        An answer without a readable epoch is of the current one. A lower one was made before the
-        store's return, and tells nothing of the store as it is; only where nothing else is heard
-        for a while was the store set up anew under a lower number.
+        A response without a readable epoch belongs to the current one. A response with a lower
+        epoch dates from before a restore and is rejected, unless only lower ones arrive for
+        LOWER_EPOCH_SECONDS: then the store was set up anew with a lower number.
         """
         if named is None:
             return
-        if named == self.current and self._named:
+        if named == self.current and self._has_epoch:
             self._lower_since = None
             return
-        if named < self.current and not self._is_fallen(named, now):
-            raise OldEpochError(f"the answer is of epoch {named}, the store is in {self.current}")
-        self._begin(named, now)
+        if named < self.current and not self._accepts_lower(named, now):
+            raise OldEpochError(f"response of store epoch {named}; current epoch: {self.current}")
+        self._enter(named, now)
 
     def note_unreadable(self, text: str) -> None:
-        """Tell once of an epoch that cannot be read."""
-        if text != self._told_odd:
-            self._told_odd = text
+        """Log an unparseable epoch, once per text."""
+        if text != self._logged_text:
+            self._logged_text = text
             log_event("store epoch not read", named=text[:80], epoch=self.current)
 
     def describe(self) -> dict[str, int]:
-        """Return what operators ask: the epoch, and the returns that this process has seen."""
+        """Return the epoch and the number of restores seen, for operators."""
         return {"epoch": self.current, "returns": self.returns}
 
-    def _is_fallen(self, named: int, now: float) -> bool:
+    def _accepts_lower(self, named: int, now: float) -> bool:
         if self._lower_since is None:
             self._lower_since = now
             log_event("store names a lower epoch", named=named, epoch=self.current)
-        return now - self._lower_since >= FALL_SECONDS
+        return now - self._lower_since >= LOWER_EPOCH_SECONDS
 
-    def _begin(self, named: int, now: float) -> None:
-        # A process that has just started knows no history that could have been lost.
-        returned, self._named = self._named, True
+    def _enter(self, named: int, now: float) -> None:
+        # The first epoch that a process receives is no restore.
+        returned, self._has_epoch = self._has_epoch, True
         self.returns += returned
         log_event("store epoch", before=self.current, epoch=named, returns=self.returns)
         self.current, self.since = named, now
--- a/src/swifttrestle/internal/state/upstream_conditions.py
+++ b/src/swifttrestle/internal/state/upstream_conditions.py
@@ -1,17 +1,17 @@
-"""What is known of what each upstream takes, by its own words."""
+"""The work that each upstream accepts, by the backpressure that it signals."""
 
 from dataclasses import dataclass, field
 
 NEVER = float("-inf")
-# Seconds for which one request tries an upstream after its rest, before another one may.
+# Time for which a single request probes an upstream after its cool-down, before others follow.
 TRIAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class RateLimit:
-    """How many requests a second an upstream takes from all hosts, None for no limit.
+    """Requests per second that an upstream accepts from all hosts, None for no limit.
 
-    `at` is the loop's time at which that was heard.
+    `at` is the event loop's time at which the limit was received.
     """
 
     rate: float | None = None
@@ -20,67 +20,67 @@
 
 @dataclass
 class UpstreamCondition:
-    """What one start of an upstream takes; times are the loop's.
+    """What one incarnation of an upstream accepts; times are the event loop's.
 
-    `rest_until` is when it wants to hear from this host again, `tried_until` until when one request
-    tries it after that, and `denied_until` by urgency when its limit may leave this host a request
-    again. `seen_at` is when it was last listed, 0 before that.
+    `rest_until` is the end of the cool-down that it asked this host for. Until `tried_until` one
+    request probes it after that. `denied_until` is the time at which its rate limit may permit
+    another request of this host, by urgency. `seen_at` is when it was last listed, 0 if never.
     """
 
     leaving: bool = False
     rate_limit: RateLimit = RateLimit()
     rest_until: float = NEVER
     tried_until: float = NEVER
-    # Whether no answer has come yet since it asked for rest.
-    rested: bool = False
+    # Whether it has accepted no request since it asked for a cool-down.
+    awaiting_trial: bool = False
     denied_until: dict[bool, float] = field(default_factory=dict)
     seen_at: float = 0.0
-    # Its last words that could not be read.
+    # The malformed headers of its last response that had any.
     unreadable: tuple[str, ...] = ()
 
     @property
     def name(self) -> str:
-        """The condition in one word, the gravest first, as metrics label it."""
+        """The metric label of the most severe condition: leaving, limited or open."""
         if self.leaving:
             return "leaving"
         return "limited" if self.rate_limit.rate is not None else "open"
 
     def find_wait_seconds(self, now: float, urgent: bool, permitted: bool = False) -> float:
-        """Return the seconds for which it takes no request from this host, 0 where it takes one.
+        """Return the seconds until it accepts a request from this host, 0 if it does now.
 
-        What its limit leaves to others does not hold back a request that has a permit.
+        A request with a permit is not delayed by the rate limit.
         """
         denied = NEVER if permitted else self.denied_until.get(urgent, NEVER)
         return max(0.0, max(self.rest_until, self.tried_until, denied) - now)
 
     def rest(self, until: float) -> None:
-        """Keep it free of work until a time."""
+        """Send it no requests until the time `until`."""
         self.rest_until = max(until, self.rest_until)
         self.tried_until = NEVER
-        self.rested = True
+        self.awaiting_trial = True
 
     def note_sent(self, now: float) -> None:
-        """Leave it after its rest to the request that is sent now, for a moment.
+        """Hold back other requests while the one sent now probes it after its cool-down.
 
-        All that waits for its rest to end would reach it at once otherwise.
+        Otherwise all waiting requests would reach it at once.
         """
-        if self.rested:
+        if self.awaiting_trial:
             self.tried_until = now + TRIAL_SECONDS
 
     def note_taken(self, sent_at: float) -> bool:
-        """Take over that it took a request; return whether that ends its trial."""
-        if not self.rested or sent_at < self.rest_until:
+        """Record that it accepted a request sent at `sent_at`; return whether its trial ends."""
+        if not self.awaiting_trial or sent_at < self.rest_until:
             return False
-        self.rested = False
+        self.awaiting_trial = False
         self.tried_until = NEVER
         return True
 
     def deny(self, until: float, urgent: bool) -> None:
-        """Hold back until a time; what is denied to urgent requests is denied to all."""
+        """Deny requests until a time; a denial of urgent requests applies to all."""
         self.denied_until[False] = max(until, self.denied_until.get(False, NEVER))
         if urgent:
             self.denied_until[True] = until
 
     def lift_denials(self) -> None:
-        """Forget what an earlier limit denied."""
+        """Clear the denials of an earlier limit."""
         self.denied_until.clear()
--- a/src/swifttrestle/internal/state/upstreams.py
+++ b/src/swifttrestle/internal/state/upstreams.py
@@ -1,8 +1,8 @@
-"""What an entry knows of its upstreams: reports, own open requests, health, learned speed.
+"""The state of an entry's upstreams: load reports, own open requests, health and measured speed.
 
-`begin` is the one way by which work goes to an upstream. It checks that the upstream
-is not closed and counts the request under one lock, and `count_open` takes the same lock:
-an entry that says "closed, none open" can therefore not have a request slipping through.
+Each request to an upstream starts with `begin`, which checks under a lock that the upstream is not
+closed and counts the request. `count_open` takes the same lock, so that no request can start
+unnoticed after an entry has reported "closed, none open".
 """
 
 import threading
@@ -23,20 +23,30 @@
 from swifttrestle.internal.state.prefixes import PrefixIndex
 from swifttrestle.resources import Policy, ResourceSet, Service, Upstream
 
-ASSUMED_LAG = 0.5
-LEARN_SHARE = 0.1
-LEAST_LEARN_TOKENS = 256
-# A prompt shorter than this gains less from another engine's prefill than the hop costs.
-VIA_TOKENS = 1024
+# Assumed delay between a load and its report.
+ASSUMED_LAG_SECONDS = 0.5
+# Weight of a new sample in the moving averages of speeds.
+SAMPLE_WEIGHT = 0.1
+# Prefill samples of fewer tokens are ignored.
+MIN_SAMPLE_TOKENS = 256
+# Prompts shorter than this are not prefilled by another engine: the transfer costs more.
+MIN_REMOTE_PREFILL_TOKENS = 1024
+# Time for which an upstream gets no requests after a refusal.
 REFUSAL_SECONDS = 2.0
+# Time after a request for which an upstream counts as in use.
 IN_USE_SECONDS = 5.0
+# Age at which a load report is outdated.
 STALE_SECONDS = 5.0
-FASTEST_RATE, SLOWEST_RATE = 1e6, 10.0
+# Bounds on samples of prefill rates, in tokens per second.
+MAX_PREFILL_RATE, MIN_PREFILL_RATE = 1e6, 10.0
 
 
 @dataclass
 class UpstreamState:
-    """One upstream; times are local monotonic seconds."""
+    """One upstream; times are seconds of the local monotonic clock.
+
+    `sends` holds the time and the uncached prompt tokens of recent requests.
+    """
 
     upstream: Upstream
     report: LoadReport | None = None
@@ -50,7 +60,11 @@
 
 @dataclass(frozen=True)
 class UpstreamRequirements:
-    """What a request needs of an upstream; `version` is set once a stream has begun."""
+    """What a request needs of an upstream.
+
+    `version` is the required model version, set once a stream has begun. `blocks` are the digests
+    of the prompt's prefixes, and `exclude` names upstreams that are not to be used.
+    """
 
     service: Service
     prompt_tokens: int = 1
@@ -60,10 +74,9 @@
 
 
 class UpstreamTable(OpenRequestCounter):
-    """All upstreams of one entry."""
+    """All upstreams of one entry; `configure` adds them."""
 
     def __init__(self, zone: str, closings: ClosingTable, clock: Clock) -> None:
-        """Start with none; `configure` brings them."""
         self._zone = zone
         self._closings = closings
         self._clock = clock
@@ -74,7 +87,7 @@
         self.prefixes = PrefixIndex()
 
     def configure(self, config: ResourceSet) -> None:
-        """Take over a configuration; an upstream that is gone keeps its count of requests."""
+        """Apply a configuration; a removed upstream keeps its count of open requests."""
         with self._lock:
             self._config = config
             self._ejector.cap = config.policy.ejection_cap
@@ -87,13 +100,13 @@
                     state.upstream = upstream
 
     def addresses(self) -> dict[str, str]:
-        """Return the engines to read reports from, with their addresses."""
+        """Return the addresses of the engines to poll for load reports, by name."""
         with self._lock:
             upstreams = self._config.upstreams.values()
             return {u.name: u.address for u in upstreams if u.type == "engine"}
 
     def candidates(self, wanted: UpstreamRequirements) -> list[Candidate]:
-        """Return the upstreams that may take a request now."""
+        """Return the upstreams that may accept a request now."""
         now = self._clock.now()
         with self._lock:
             usable = [
@@ -103,8 +116,8 @@
             ]
             if wanted.service.type == "plain":
                 return [self._describe(state, wanted, now) for state in usable]
-            # An engine whose reports have stopped may be frozen; where all have stopped, the
-            # reports are at fault and say nothing.
+            # An engine whose reports have stopped may hang. If all reports have stopped, the
+            # reporting is at fault, and all engines remain usable.
             fresh = [state for state in usable if now - state.reported_at < STALE_SECONDS]
             usable = fresh or usable
             return self._describe_engines(usable, wanted, now)
@@ -121,9 +134,9 @@
             return False
         if wanted.service.type == "plain":
             return upstream.type == "plain" and wanted.service.name in upstream.services
-        return self._holds_what_is_wanted(state, wanted)
+        return self._holds_model(state, wanted)
 
-    def _holds_what_is_wanted(self, state: UpstreamState, wanted: UpstreamRequirements) -> bool:
+    def _holds_model(self, state: UpstreamState, wanted: UpstreamRequirements) -> bool:
         report = state.report
         model = self._config.models.get(wanted.service.model)
         if report is None or model is None or report.leaving or report.state.changing:
@@ -139,7 +152,7 @@
         return not adapter or adapter in holding.adapters
 
     def adapter_label(self, service: Service) -> str:
-        """Return a service's adapter as engines name it, or the empty string."""
+        """Return the name of a service's adapter on engines, or the empty string."""
         adapter = self._config.adapters.get(service.adapter)
         return f"{adapter.name}@{adapter.version}" if adapter else ""
 
@@ -153,8 +166,8 @@
             described.setdefault(role, []).append(self._describe(state, wanted, now))
         found = described["mixed"]
         if described["prefill"]:
-            long_prompt = wanted.prompt_tokens >= VIA_TOKENS
-            # Decoding elsewhere is as soon as the best engine that prefills for it.
+            long_prompt = wanted.prompt_tokens >= MIN_REMOTE_PREFILL_TOKENS
+            # The first token of a remote prefill depends on the least loaded prefill engine.
             best = min(described["prefill"], key=lambda c: c.waiting_tokens / c.prefill_rate)
             found = found + [
                 replace(
@@ -172,7 +185,7 @@
         self, state: UpstreamState, wanted: UpstreamRequirements, now: float
     ) -> Candidate:
         upstream, report = state.upstream, state.report
-        cutoff = state.reported_at - ASSUMED_LAG
+        cutoff = state.reported_at - ASSUMED_LAG_SECONDS
         recent = [tokens for at, tokens in state.sends if at > cutoff]
         reported = report.decoding + report.waiting if report else 0
         waiting = report.waiting_tokens if report else 0
@@ -190,7 +203,7 @@
         )
 
     def begin(self, name: str, uncached: float) -> bool:
-        """Count a request on an upstream; False where it is closed to new work."""
+        """Count a new request on an upstream; return False if it is closed to new work."""
         with self._lock:
             state = self._states.get(name)
             drained = name in self._config.drains or name not in self._config.upstreams
@@ -201,7 +214,7 @@
             return True
 
     def end(self, name: str) -> bool:
-        """Count a request's end; return whether it was the last one on a closed upstream."""
+        """Count the end of a request; return whether it was the last on a closed upstream."""
         with self._lock:
             state = self._states.get(name)
             if state is None:
@@ -210,7 +223,7 @@
             return state.open == 0 and self._closings.is_closed(name)
 
     def count_open(self, upstream: str) -> int:
-        """Return this entry's open requests on an upstream."""
+        """Return the number of this entry's open requests on an upstream."""
         with self._lock:
             state = self._states.get(upstream)
             return state.open if state else 0
@@ -227,7 +240,7 @@
             return report.state.holding.version if report else ""
 
     def note_report(self, name: str, report: LoadReport) -> None:
-        """Take over a load report."""
+        """Store a load report."""
         with self._lock:
             state = self._states.get(name)
             if state is None:
@@ -236,12 +249,12 @@
                 self.prefixes.forget(name)
             state.report = report
             state.reported_at = self._clock.now()
-            horizon = state.reported_at - 10 * ASSUMED_LAG
+            horizon = state.reported_at - 10 * ASSUMED_LAG_SECONDS
             while state.sends and state.sends[0][0] < horizon:
                 state.sends.popleft()
 
     def is_in_use(self, name: str) -> bool:
-        """Return whether an engine's report is wanted often: work went there, or it changes."""
+        """Return whether an engine needs frequent polling: it has work or is being changed."""
         with self._lock:
             state = self._states.get(name)
             if state is None:
@@ -251,13 +264,13 @@
             return bool(recent) or state.open > 0 or not settled
 
     def note_refusal(self, name: str) -> None:
-        """An upstream said itself that it takes no new work of this kind."""
+        """Send no requests to an upstream for a while after it has refused one."""
         with self._lock:
             if name in self._states:
                 self._states[name].refused_until = self._clock.now() + REFUSAL_SECONDS
 
     def note_failure(self, name: str) -> bool:
-        """An upstream failed; return whether it is left out from now on."""
+        """Count a failure of an upstream; return whether that ejects it."""
         with self._lock:
             state = self._states.get(name)
             if state is None:
@@ -266,31 +279,32 @@
             return self._ejector.note_failure(name, group, self._clock.now())
 
     def note_first_token(self, name: str, tokens: float, seconds: float) -> None:
-        """Learn an engine's prefill speed from one first token.
+        """Update an engine's prefill rate by the time to one first token.
 
-        `tokens` is all the work that stood before it: what was queued, and its own.
+        `tokens` are the prompt tokens prefilled in that time: the queued ones and the request's
+        own.
         """
         with self._lock:
             self._ejector.note_success(name, self._clock.now())
             state = self._states.get(name)
-            if state is None or tokens < LEAST_LEARN_TOKENS:
-                # So little work says more about the step it had to wait for.
+            if state is None or tokens < MIN_SAMPLE_TOKENS:
+                # The wait for the engine's current step dominates such a short prefill.
                 return
-            # Times are averaged, not rates: one first token that came at once, because the
-            # report was old, would make a mean of rates worthless for long.
-            spent = min(1 / SLOWEST_RATE, max(1 / FASTEST_RATE, seconds / tokens))
+            # The average is of times per token, not of rates: an early first token, due to an
+            # outdated report, would distort an average of rates for long.
+            sample = min(1 / MIN_PREFILL_RATE, max(1 / MAX_PREFILL_RATE, seconds / tokens))
             known = 1 / state.prefill_rate
-            state.prefill_rate = 1 / (known + LEARN_SHARE * (spent - known))
+            state.prefill_rate = 1 / (known + SAMPLE_WEIGHT * (sample - known))
 
     def note_decode(self, name: str, tokens: int, seconds: float) -> None:
-        """Learn an engine's time between tokens from one stream."""
+        """Update an engine's time between tokens by one stream."""
         with self._lock:
             state = self._states.get(name)
             if state is not None and tokens > 1:
-                state.token_seconds += LEARN_SHARE * (seconds / tokens - state.token_seconds)
+                state.token_seconds += SAMPLE_WEIGHT * (seconds / tokens - state.token_seconds)
 
     def dump(self) -> dict[str, dict]:
-        """Return what is known, for the dump of the process's state."""
+        """Return the state of all upstreams for the state dump."""
         now = self._clock.now()
         with self._lock:
             return {
@@ -320,5 +334,5 @@
 
 
 def excluding(wanted: UpstreamRequirements, names: Sequence[str]) -> UpstreamRequirements:
-    """Return the selection without some upstreams."""
+    """Return the requirements with more upstreams excluded."""
     return replace(wanted, exclude=wanted.exclude | frozenset(names))
--- a/src/swifttrestle/internal/state/usage.py
+++ b/src/swifttrestle/internal/state/usage.py
@@ -1,7 +1,7 @@
-"""How many requests of each workspace began in each window of time, as counted and as gathered.
+"""Requests per workspace and time window, counted on this host and collected from others.
 
-Counts only rise. Whoever gathers them keeps for each start of a host the highest one that it heard,
-so that words may be lost, doubled or late.
+Counts only rise. Collectors keep the highest count per incarnation of a host, so that messages may
+be lost, duplicated or late.
 """
 
 from collections import Counter
@@ -12,13 +12,13 @@
 
 Counts = dict[str, int]
 
-# Windows that are kept: as many as may be due or told again at once, at 5 s each.
+# Number of windows kept: all that may be due or sent again at once, with windows of 5 s.
 KEPT_WINDOWS = 8
 
 
 @dataclass(frozen=True)
 class WindowCounts:
-    """What one start of a host has counted of a window so far; `source` names that start."""
+    """The counts so far of one window by one incarnation of a host, which `source` names."""
 
     source: str
     window: int
@@ -26,34 +26,34 @@
 
 
 def find_window(at: float, seconds: float) -> int:
-    """Return the number of the window of so many seconds that a Unix time falls into."""
+    """Return the number of the window, `seconds` long, that contains a Unix time."""
     return int(at // seconds)
 
 
 class UsageMeter:
-    """Counts this host's requests, and gathers what other hosts have counted."""
+    """Counts this host's requests and collects the counts of other hosts."""
 
     def __init__(self, source: str) -> None:
-        """Count under the name of this start."""
+        """Count own requests under `source`, the name of this incarnation of the host."""
         self._source = source
         self._windows: dict[int, dict[str, Counter[str]]] = {}
 
     def note(self, workspace: str, window: int) -> None:
-        """Count one request that began in a window."""
+        """Count a request that began in a window."""
         self._find(window, self._source)[workspace] += 1
 
-    def take(self, told: WindowCounts) -> None:
-        """Take over what a host has counted."""
-        known = self._find(told.window, told.source)
-        for workspace, count in told.counts.items():
+    def take(self, reported: WindowCounts) -> None:
+        """Merge the counts that a host reports."""
+        known = self._find(reported.window, reported.source)
+        for workspace, count in reported.counts.items():
             known[workspace] = max(known[workspace], count)
 
     def list_windows(self) -> list[int]:
-        """Return the windows in which anything was counted, oldest first."""
+        """Return the windows with counts, oldest first."""
         return sorted(self._windows)
 
     def list_own(self, windows: Iterable[int]) -> list[WindowCounts]:
-        """Return what this host has counted of some windows."""
+        """Return this host's own counts of the given windows."""
         found = []
         for window in windows:
             counts = self._windows.get(window, {}).get(self._source)
@@ -62,11 +62,11 @@
         return found
 
     def list_sources(self, window: int) -> tuple[str, ...]:
-        """Return the starts of hosts that have counted something of a window."""
+        """Return the sources with counts of a window."""
         return tuple(sorted(self._windows.get(window, ())))
 
     def sum(self, window: int, sources: Collection[str] | None = None) -> Counts:
-        """Return a window's counts, of all starts of hosts or of some."""
+        """Return the sum of a window's counts over all sources or the given ones."""
         total: Counter[str] = Counter()
         for source, counts in self._windows.get(window, {}).items():
             if sources is None or source in sources:
@@ -74,24 +74,24 @@
         return dict(total)
 
     def sum_with_draft(self, window: int, draft: UsageDraft | None) -> Counts:
-        """Return a window's counts with what a draft says of hosts that died since.
+        """Return a window's counts, completed from a draft for hosts that have ended since.
 
-        A host that still tells its counts has told at least what the draft holds of it; where
-        some of the draft's hosts are gone, the higher sum is nearer to the truth.
+        The current counts of a live host include what the draft holds of it. If some sources of
+        the draft are gone, the higher one of the two sums is closer to the true count.
         """
         if draft is None:
             return self.sum(window)
         known = set(self.list_sources(window))
-        inside = self.sum(window, set(draft.sources))
-        beside = self.sum(window, known - set(draft.sources))
-        names = {*inside, *beside, *draft.counts}
+        drafted = self.sum(window, set(draft.sources))
+        others = self.sum(window, known - set(draft.sources))
+        names = {*drafted, *others, *draft.counts}
         return {
-            name: max(inside.get(name, 0), draft.counts.get(name, 0)) + beside.get(name, 0)
+            name: max(drafted.get(name, 0), draft.counts.get(name, 0)) + others.get(name, 0)
             for name in names
         }
 
     def forget_before(self, window: int) -> None:
-        """Drop what is older than a window."""
+        """Drop all windows before the given one."""
         for old in [item for item in self._windows if item < window]:
             del self._windows[old]
 
