--- a/src/swifttrestle/internal/protocol/bookings.py
+++ b/src/swifttrestle/internal/protocol/bookings.py
@@ -1,4 +1,4 @@
-"""Datagrams by which a host has engines booked by the one that schedules a group of them."""
+"""Datagrams between a host and the scheduler that books a group of engines for it."""
 
 from dataclasses import astuple, dataclass, replace
 from enum import IntEnum
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class BookingQuery:
-    """Asks for engines; `number` names the booking among all of its host's."""
+    """Asks for engines; `number` identifies the booking among those of its host."""
 
     number: int
     request: BookingRequest
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """Says that the request waits in the scheduler's queue."""
+    """Confirms that the request waits in the scheduler's queue."""
 
     number: int
 
@@ -40,9 +40,10 @@
 class Grant:
     """Names the booked engines.
 
-    `ahead` are the tokens to be read at the reader, the request's own included, `wait` is its
-    predicted wait in seconds, and `tokens` are those of the request that the reader neither keeps
-    nor fetches. `source` is the engine that it fetches from, "" for none, in `fetch_seconds`.
+    `ahead` are the tokens queued at the prefill engine (`reader`), the request's own included, and
+    `wait` is its predicted wait in seconds. `tokens` are the request's prompt tokens that it has
+    neither cached nor fetches. `source` is the engine from which it fetches, "" for none, in
+    `fetch_seconds`.
     """
 
     number: int
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Says that no engine has room; one is predicted to be free in `next_free_seconds` seconds."""
+    """Reports that no engine is free; one is predicted to be free in `next_free_seconds`."""
 
     number: int
     waiting: int
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True)
 class End:
-    """Gives one engine of a booking back; `seconds` is how long it was used."""
+    """Releases one engine of a booking, which was in use for `seconds`."""
 
     number: int
     stage: Stage
@@ -102,7 +103,7 @@
     try:
         return _read(msgpack.unpackb(data))
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise FrameError(f"a booking datagram cannot be read: {error!r}") from None
+        raise FrameError(f"booking datagram malformed: {error!r}") from None
 
 
 def _read(values: Any) -> tuple[str, Message]:
@@ -112,8 +113,8 @@
             max_wait, latest_read,
         ]:  # fmt: skip
             read = tuple(PromptPart(*item) for item in parts)
-            asked: list[Any] = [*fields, frozenset(excluded), read, max_wait, latest_read]
-            return host, BookingQuery(number, BookingRequest(*asked).checked())
+            requirements: list[Any] = [*fields, frozenset(excluded), read, max_wait, latest_read]
+            return host, BookingQuery(number, BookingRequest(*requirements).checked())
         case [MessageKind.WAIT, str(host), int(number)]:
             return host, Wait(number)
         case [
@@ -127,4 +128,4 @@
             return host, Refuse(number, waiting, float(next_free_seconds))
         case [MessageKind.END, str(host), int(number), stage, outcome, seconds]:
             return host, End(number, Stage(stage), Outcome(outcome), float(seconds))
-    raise FrameError("a booking datagram is of no known kind")
+    raise FrameError("booking datagram of an unknown kind or with a wrong field")
--- a/src/swifttrestle/internal/protocol/calls.py
+++ b/src/swifttrestle/internal/protocol/calls.py
@@ -1,7 +1,7 @@
-"""The request side of upstreams: one streamed call to an engine, one call to a plain service.
+"""Requests to upstreams: streamed calls to engines and calls to plain services.
 
-Each call knows how far it had come when it failed: whether the connection stood, and whether
-a byte of the request may have gone out. That is what decides if it may be tried again.
+Each error says whether any byte of the request may have been sent, which decides whether the call
+may be retried.
 """
 
 import socket
@@ -21,17 +21,20 @@
 from swifttrestle.internal.checks import parse_address
 
 READ_BYTES = 65536
-ANSWER_LIMIT = 16_000_000
+# Largest accepted response body of a plain service, in bytes.
+MAX_RESPONSE_BYTES = 16_000_000
 STATUS_OK, STATUS_UNAVAILABLE, STATUS_TOO_MANY = 200, 503, 429
+# Reasons of a refusal for which the upstream serves no such requests at all at present.
 GONE_REASONS = ("leaving", "away", "model", "role", "changing", "cut")
-MAX_RETRY_AFTER = 60.0
-# A refused body is small; what is longer is not worth the reading.
-REFUSAL_BYTES = 4096
+# Longer times in a Retry-After header are ignored.
+MAX_RETRY_AFTER_SECONDS = 60.0
+# Bytes of a refusal's body that are read.
+MAX_REFUSAL_BYTES = 4096
 
 
 @dataclass(frozen=True)
 class EngineCall:
-    """One attempt at an engine; `offset` is the first token wanted, `max_tokens` the end."""
+    """One attempt at an engine, for the tokens from `offset` up to `max_tokens`."""
 
     request_id: str
     attempt: int
@@ -45,7 +48,7 @@
     kv_from: dict[str, str] | None = None
 
     def body(self) -> bytes:
-        """Return the JSON body."""
+        """Return the body as JSON."""
         value: dict[str, Any] = {
             "id": self.request_id,
             "attempt": self.attempt,
@@ -64,17 +67,17 @@
 
 @dataclass(frozen=True)
 class OpenStream:
-    """An engine's answer that has begun: its socket and the bytes that came with the head."""
+    """A streamed response that has begun: its socket and the body bytes received so far."""
 
     sock: socket.socket
     first: bytes
 
 
 class _StreamConnection(HTTPConnection):
-    """Asks with HTTP/1.0, so that the body ends with the connection and has no chunk frames.
+    """Uses HTTP/1.0, so that the body ends with the connection and is not chunked.
 
-    That keeps the relay to one read a token; the finish mark tells a whole answer from a
-    broken one, so chunk frames would add nothing.
+    The relay can then forward what it reads without decoding chunks. The final event marks a
+    complete response, so that chunks are not needed for that.
     """
 
     _http_vsn = 10
@@ -84,7 +87,7 @@
 def open_stream(
     address: str, call: EngineCall, connect_seconds: float, first_seconds: float
 ) -> OpenStream:
-    """Start a streamed call and wait for its first bytes; raise UpstreamError."""
+    """Start a streamed call and wait for its first body bytes; raise UpstreamError."""
     connection = _connect(_StreamConnection, address, connect_seconds)
     try:
         connection.timeout = first_seconds
@@ -96,7 +99,7 @@
         )  # fmt: skip
         response = connection.getresponse()
         if response.status != STATUS_OK:
-            _raise_refusal(response.status, response.headers, response.read(REFUSAL_BYTES))
+            _raise_refusal(response.status, response.headers, response.read(MAX_REFUSAL_BYTES))
         first = response.read1(READ_BYTES)
         sock = socket.socket(fileno=socket.dup(response.fileno()))
         response.close()
@@ -108,7 +111,10 @@
 
 
 def cancel_stream(address: str, request_id: str, attempt: int, seconds: float) -> None:
-    """Ask an engine to drop a request; what is lost here the closed socket says as well."""
+    """Ask an engine to cancel a request.
+
+    Failures are ignored, because the engine also sees that the request's socket was closed.
+    """
     body = orjson.dumps({"id": request_id, "attempt": attempt})
     try:
         call_plain(address, "/v1/cancel", body, {}, connect_seconds=seconds, seconds=seconds)
@@ -117,19 +123,19 @@
 
 
 def start_prefill(address: str, call: EngineCall, connect: float, seconds: float) -> str:
-    """Have an engine prefill a prompt; return the handle of its KV cache."""
+    """Have an engine prefill a prompt; return the handle of the KV cache."""
     answer = call_plain(
         address, "/v1/prefill", call.body(), {}, connect_seconds=connect, seconds=seconds
     )
     try:
         return str(orjson.loads(answer.body)["handle"])
     except (orjson.JSONDecodeError, KeyError, TypeError):
-        raise UpstreamBrokenError(f"{address}: no handle in the answer", sent=True) from None
+        raise UpstreamBrokenError(f"{address}: no handle in the response", sent=True) from None
 
 
 @dataclass(frozen=True)
 class PlainAnswer:
-    """A plain service's whole answer."""
+    """The complete response of a plain service."""
 
     status: int
     content_type: str
@@ -145,7 +151,7 @@
     connect_seconds: float,
     seconds: float,
 ) -> PlainAnswer:
-    """Make one call and read its whole answer; raise UpstreamError with how far it came."""
+    """Make one call and return the complete response; raise UpstreamError."""
     connection = _connect(HTTPConnection, address, connect_seconds)
     try:
         if connection.sock is not None:
@@ -156,10 +162,12 @@
         )  # fmt: skip
         response = connection.getresponse()
         if response.status in (STATUS_UNAVAILABLE, STATUS_TOO_MANY):
-            _raise_refusal(response.status, response.headers, response.read(REFUSAL_BYTES))
-        data = response.read(ANSWER_LIMIT)
-        if len(data) >= ANSWER_LIMIT:
-            raise UpstreamBrokenError(f"{address}: the answer is too long", sent=True)
+            _raise_refusal(response.status, response.headers, response.read(MAX_REFUSAL_BYTES))
+        data = response.read(MAX_RESPONSE_BYTES)
+        if len(data) >= MAX_RESPONSE_BYTES:
+            raise UpstreamBrokenError(
+                f"{address}: response body of {MAX_RESPONSE_BYTES} bytes or more", sent=True
+            )
         return PlainAnswer(response.status, response.headers.get("Content-Type", ""), data)
     except (HTTPError, OSError, ValueError) as error:
         raise UpstreamBrokenError(f"{address}: {type(error).__name__}", sent=True) from None
@@ -173,13 +181,13 @@
     try:
         connection.connect()
     except (HTTPError, OSError) as error:
-        # No byte of the request has gone out.
+        # No byte of the request has been sent.
         raise UpstreamBrokenError(f"{address}: {type(error).__name__}", sent=False) from None
     return connection
 
 
 def _raise_refusal(status: int, headers: Any, body: bytes) -> None:
-    """Raise for an answer that says the call was not run."""
+    """Raise the error for a response of another status than 200."""
     try:
         reason = str(orjson.loads(body).get("reason", ""))
     except (orjson.JSONDecodeError, AttributeError):
@@ -194,9 +202,9 @@
 
 
 def read_retry_after(value: str) -> float:
-    """Return the seconds of a Retry-After header, 0 where it cannot be read."""
+    """Return the seconds of a Retry-After header, 0 if it is invalid."""
     try:
         seconds = float(value)
     except ValueError:
         return 0.0
-    return seconds if 0 <= seconds <= MAX_RETRY_AFTER else 0.0
+    return seconds if 0 <= seconds <= MAX_RETRY_AFTER_SECONDS else 0.0
--- a/src/swifttrestle/internal/protocol/engine.py
+++ b/src/swifttrestle/internal/protocol/engine.py
@@ -1,7 +1,7 @@
-"""Model engines: typed calls and reports, behind abstract classes.
+"""The control interface of model engines: load reports and orders.
 
-`HttpEngine` is the control side (reports, orders); `open_stream` in `protocol.calls` is the
-request side. Another kind of engine needs another subclass.
+Requests go through `open_stream` in `protocol.calls`. Another kind of engine needs another subclass
+of `Engine`.
 """
 
 from abc import ABC, abstractmethod
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Holding:
-    """What an engine holds or is to hold; adapters are written name@version."""
+    """The model, adapters and role that an engine has or is to have; adapters as name@version."""
 
     model: str = ""
     version: str = ""
@@ -29,12 +29,12 @@
     role: str = "mixed"
 
     def plain(self) -> dict[str, Any]:
-        """Return plain values."""
+        """Return the values for JSON."""
         return {**vars(self), "adapters": list(self.adapters)}
 
 
 def read_holding(value: dict[str, Any]) -> Holding:
-    """Return the holding of plain values."""
+    """Parse a holding."""
     return Holding(
         str(value["model"]),
         str(value["version"]),
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """An engine's own word on itself; `boot` changes with each start of it."""
+    """The state that an engine reports; `boot` identifies its incarnation."""
 
     boot: str
     holding: Holding
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A load report, some time old; tokens and requests are counts."""
+    """A load report, made at the engine's time `at`; it may be out of date."""
 
     state: EngineState
     at: float
@@ -71,42 +71,42 @@
 
 
 class Engine(ABC):
-    """The control side of one engine."""
+    """The control interface of one engine."""
 
     @abstractmethod
     def read_state(self) -> EngineState:
-        """Ask the engine itself; raise UpstreamBrokenError."""
+        """Return the engine's current state; raise UpstreamBrokenError."""
 
     @abstractmethod
     def read_load(self) -> LoadReport:
-        """Return its latest load report; raise UpstreamBrokenError."""
+        """Return the latest load report; raise UpstreamBrokenError."""
 
     @abstractmethod
     def send_order(self, order_id: str, fence: int, wanted: Holding | None) -> None:
-        """Order a holding, or with None only raise the fencing number.
+        """Order a holding; with None, only raise the fencing token.
 
-        Raises StaleTokenError, or UpstreamBrokenError: then it may have taken effect.
+        Raises StaleTokenError, or UpstreamBrokenError, after which the order may have taken effect.
         """
 
 
 class HttpEngine(Engine):
-    """The control side over HTTP and JSON."""
+    """The control interface over HTTP and JSON."""
 
     def __init__(self, address: str, client: urllib3.PoolManager | None = None) -> None:
-        """Talk to the engine at HOST:PORT."""
+        """Connect to the engine at HOST:PORT."""
         self._base = f"http://{address}"
         self._client = client or make_client(CONTROL_SECONDS)
 
     def read_state(self) -> EngineState:
-        """Ask the engine itself; raise UpstreamBrokenError."""
+        """Return the engine's current state; raise UpstreamBrokenError."""
         return read_engine_state(self._call("GET", "/state"))
 
     def read_load(self) -> LoadReport:
-        """Return its latest load report; raise UpstreamBrokenError."""
+        """Return the latest load report; raise UpstreamBrokenError."""
         return read_load_report(self._call("GET", "/load"))
 
     def send_order(self, order_id: str, fence: int, wanted: Holding | None) -> None:
-        """Order a holding, or with None only raise the fencing number."""
+        """Order a holding; with None, only raise the fencing token."""
         order: dict[str, Any] = {"order_id": order_id, "token": fence, "action": "raise"}
         if wanted is not None:
             order |= {"action": "hold", "wanted": wanted.plain()}
@@ -118,20 +118,20 @@
         except (HTTPError, OSError) as error:
             raise UpstreamBrokenError(f"{path}: {type(error).__name__}", sent=True) from None
         if response.status == STATUS_CONFLICT and b"stale" in response.data:
-            raise StaleTokenError(f"the engine at {self._base} has seen a newer number")
+            raise StaleTokenError(f"the engine at {self._base} has a newer fencing token")
         if response.status != STATUS_OK:
             raise UpstreamBrokenError(f"{path}: status {response.status}")
         try:
             value = orjson.loads(response.data)
         except orjson.JSONDecodeError:
-            raise UpstreamBrokenError(f"{path}: no JSON") from None
+            raise UpstreamBrokenError(f"{path}: response is not JSON") from None
         if not isinstance(value, dict):
-            raise UpstreamBrokenError(f"{path}: no JSON object")
+            raise UpstreamBrokenError(f"{path}: response is not a JSON object")
         return value
 
 
 def read_engine_state(value: dict[str, Any]) -> EngineState:
-    """Return the state of plain values; raise UpstreamBrokenError."""
+    """Parse an engine state; raise UpstreamBrokenError."""
     try:
         return EngineState(
             str(value["boot"]),
@@ -141,11 +141,11 @@
             int(value["active"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise UpstreamBrokenError(f"a state cannot be read: {error!r}") from None
+        raise UpstreamBrokenError(f"engine state malformed: {error!r}") from None
 
 
 def read_load_report(value: dict[str, Any]) -> LoadReport:
-    """Return the report of plain values; raise UpstreamBrokenError."""
+    """Parse a load report; raise UpstreamBrokenError."""
     state = read_engine_state(value)
     try:
         return LoadReport(
@@ -160,4 +160,4 @@
             bool(value.get("leaving", False)),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise UpstreamBrokenError(f"a report cannot be read: {error!r}") from None
+        raise UpstreamBrokenError(f"load report malformed: {error!r}") from None
--- a/src/swifttrestle/internal/protocol/freshness.py
+++ b/src/swifttrestle/internal/protocol/freshness.py
@@ -1,7 +1,7 @@
-"""Datagrams by which hosts ask each other how fresh their configuration is, and what time it is.
+"""Datagrams by which hosts query each other's configuration version and wall clock.
 
-The answer repeats the asker's own time of the question. So the asker can date the proof by its own
-clock, however long question and answer waited on their way.
+A reply repeats the time of its query by the sender's clock. The sender of the query can therefore
+date the confirmation by its own clock, however long both datagrams were delayed.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class FreshnessQuery:
-    """`asked_at` is the asker's steady time, `wall` its time of day in Unix seconds."""
+    """A query; `asked_at` is its sender's steady time, `wall` its Unix time in seconds."""
 
     asked_at: float
     wall: float
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True)
 class FreshnessReply:
-    """Nothing newer than `version` was acknowledged `age` seconds before this was sent.
+    """Confirms that no version newer than `version` was acknowledged `age` seconds ago.
 
-    `asked_at` is the question's. `wall` is the Unix time as the sender takes it to be.
+    `asked_at` is that of the query, `wall` the sender's estimate of the Unix time in seconds.
     """
 
     asked_at: float
@@ -34,24 +34,24 @@
     wall: float
 
 
-# The longest time in seconds that a datagram may name: more than a host runs, or a date needs.
+# Upper bound on each time in a datagram, in seconds.
 MAX_MESSAGE_SECONDS = 1e12
 
 
 def pack_freshness_query(question: FreshnessQuery) -> bytes:
-    """Return the datagram of a question."""
+    """Return the datagram of a query."""
     data: bytes = msgpack.packb([question.asked_at, question.wall])
     return data
 
 
 def pack_freshness_reply(answer: FreshnessReply) -> bytes:
-    """Return the datagram of an answer."""
+    """Return the datagram of a reply."""
     data: bytes = msgpack.packb([answer.asked_at, answer.version, answer.age, answer.wall])
     return data
 
 
 def unpack_freshness(data: bytes) -> FreshnessQuery | FreshnessReply:
-    """Return the question or answer of a datagram; raise FrameError."""
+    """Parse a datagram as a query or a reply; raise FrameError."""
     try:
         values: Any = msgpack.unpackb(data)
         match values:
@@ -65,8 +65,8 @@
                     _read_seconds(wall),
                 )
     except (ValueError, msgpack.UnpackException) as error:
-        raise FrameError(f"a datagram on the configuration cannot be read: {error!r}") from None
-    raise FrameError("a datagram on the configuration is neither question nor answer")
+        raise FrameError(f"configuration freshness datagram malformed: {error!r}") from None
+    raise FrameError("configuration freshness datagram is neither a query nor a reply")
 
 
 def _read_seconds(value: Any) -> float:
--- a/src/swifttrestle/internal/protocol/gossip.py
+++ b/src/swifttrestle/internal/protocol/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: who lives, what is open where, which configuration is newest."""
+"""Heartbeat datagrams between gateways: membership, open work and configuration version."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,23 +8,21 @@
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.state.prompt_cache import PromptPart, SentPrompt
 
-# Kept under one packet of the usual links, so that a datagram is never split.
+# Fits one packet of a usual link, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
 
 
 @dataclass(frozen=True)
 class PeerReport:
-    """What one gateway tells its peers.
-
-    `holds_duty_lease` says that the sender holds the lease on engines' roles, `store_unreachable`
-    that it
-    cannot reach the store now, `store_seconds` for how long the store has answered it without a
-    break (0 where it does not). `work` maps an upstream instance to its open prompt tokens and
-    requests; `demand` maps a service to the prompt tokens a second, the decode slots and those of
-    them that follow a reading, as callers offer them; `roles` maps an engine to the role that the
-    sender has ordered it to and the seconds until it has that. `known` are
-    some peers that the sender has heard of late, as pairs of host and IP. `prompts` are those
-    that the sender has sent to engines since its last report.
+    """The periodic report of a gateway to its peers.
+
+    `store_seconds` is the time for which the store has answered the sender without interruption, 0
+    if it does not. `work` maps an upstream instance to its open prompt tokens and requests.
+    `demand` maps a service to the load offered by callers: prompt tokens per second, decode slots,
+    and the decode slots that follow a prefill elsewhere. `roles` maps an engine to the role that
+    the sender has ordered and the seconds until it takes effect. `known` are some peers from which
+    the sender has recently received a heartbeat, as pairs of host and IP. `prompts` are those sent
+    to engines since the last report.
     """
 
     host: str
@@ -45,7 +43,7 @@
 
 
 def pack_report(report: PeerReport) -> bytes:
-    """Return the datagram of a report; peers known are left out where it grows too large."""
+    """Return the datagram of a report; one that is too large omits `known` and `prompts`."""
     values = [
         report.host,
         report.ip,
@@ -71,11 +69,11 @@
 
 
 def unpack_report(data: bytes) -> PeerReport:
-    """Return the report of a datagram; raise FrameError."""
+    """Parse the report of a datagram; raise FrameError."""
     try:
         values: Any = msgpack.unpackb(data)
     except (ValueError, msgpack.UnpackException) as error:
-        raise FrameError(f"a datagram is not msgpack: {error!r}") from None
+        raise FrameError(f"peer report is not msgpack: {error!r}") from None
     match values:
         case [
             str(host),
@@ -111,14 +109,14 @@
                 _read_known(known),
                 _read_prompts(prompts),
             )
-    raise FrameError("a datagram is no report")
+    raise FrameError("peer report with a missing or wrong field")
 
 
 def _read_work(work: dict[Any, Any]) -> dict[str, tuple[int, int]]:
     try:
         return {str(name): (int(tokens), int(count)) for name, (tokens, count) in work.items()}
     except (TypeError, ValueError) as error:
-        raise FrameError(f"a report's work cannot be read: {error!r}") from None
+        raise FrameError(f"peer report: field work malformed: {error!r}") from None
 
 
 def _read_demand(offered: dict[Any, Any]) -> dict[str, tuple[float, float, float]]:
@@ -128,21 +126,21 @@
             for name, (read, slots, read_slots) in offered.items()
         }
     except (TypeError, ValueError) as error:
-        raise FrameError(f"a report's demand cannot be read: {error!r}") from None
+        raise FrameError(f"peer report: field demand malformed: {error!r}") from None
 
 
 def _read_roles(roles: dict[Any, Any]) -> dict[str, tuple[str, float]]:
     try:
         return {str(name): (str(role), float(wait)) for name, (role, wait) in roles.items()}
     except (TypeError, ValueError) as error:
-        raise FrameError(f"a report's roles cannot be read: {error!r}") from None
+        raise FrameError(f"peer report: field roles malformed: {error!r}") from None
 
 
 def _read_known(known: Any) -> tuple[tuple[str, str], ...]:
     try:
         return tuple((str(host), str(ip)) for host, ip in known)
     except (TypeError, ValueError) as error:
-        raise FrameError(f"a report's peers cannot be read: {error!r}") from None
+        raise FrameError(f"peer report: field known malformed: {error!r}") from None
 
 
 def _write_prompt(prompt: SentPrompt) -> tuple[Any, ...]:
@@ -160,4 +158,4 @@
             for engine, parts, read in prompts
         )
     except (TypeError, ValueError) as error:
-        raise FrameError(f"a report's prompts cannot be read: {error!r}") from None
+        raise FrameError(f"peer report: field prompts malformed: {error!r}") from None
--- a/src/swifttrestle/internal/protocol/listings.py
+++ b/src/swifttrestle/internal/protocol/listings.py
@@ -1,4 +1,4 @@
-"""Datagrams by which a host that watches the discovery list tells others what changed."""
+"""Datagrams with changes of the discovery list, from hosts that watch it to the others."""
 
 import zlib
 from dataclasses import dataclass
@@ -11,23 +11,22 @@
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
-# Kept under one packet of the usual links, so that a datagram is never split.
+# Fits one packet of a usual link, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
-# How a compressed datagram begins; no list of msgpack does.
-COMPRESSED = b"\x78"
-# Bytes that a compressed datagram may hold: 40 times what fits one, and bounded for its reader.
+# First byte of zlib data, with which no msgpack array begins.
+ZLIB_MARKER = b"\x78"
+# Largest accepted content of a compressed datagram, in bytes.
 MAX_DECOMPRESSED_BYTES = 64 * 1024
-# Seconds for which a host may distrust removals: far over what an outage's end takes.
-LONGEST_DISTRUST_SECONDS = 3600.0
+# Upper bound on the time for which removals may be distrusted.
+MAX_DISTRUST_SECONDS = 3600.0
 
 
 @dataclass(frozen=True)
 class ListingChanges:
-    """All that changed in the discovery list after `since`, up to `revision`.
+    """All changes of the discovery list after `since`, up to `revision`.
 
-    A record that only showed another heartbeat is left out. `removal_distrust_seconds` are the
-    seconds for
-    which records that went in an outage of the store may still come back.
+    Records of which only the heartbeat changed are omitted. `removal_distrust_seconds` is the time
+    for which records that lapsed in an outage of the store may still return.
     """
 
     since: StoreRevision
@@ -38,9 +37,9 @@
 
 
 def join_changes(before: ListingChanges, after: ListingChanges) -> ListingChanges:
-    """Return what two successive messages tell together, or the later one if they do not meet.
+    """Merge two successive messages; return the later one if there is a gap between them.
 
-    Only what holds at the end is told of an instance.
+    Of each instance, only the latest change is kept.
     """
     if before.revision != after.since:
         return after
@@ -57,11 +56,10 @@
 
 
 def pack_changes(changes: ListingChanges) -> bytes:
-    """Return the datagram of changes.
+    """Return the datagram of changes, compressed if they do not fit otherwise.
 
-    Many are compressed: records of one service differ in little, and some 70 fit in the place of
-    20. Where they do not fit, it holds none and says that it starts where it ends: whoever is
-    behind then reads the list itself, which all hosts of a zone do at once.
+    If they do not fit at all, the datagram has no changes and its `since` equals its `revision`, so
+    that receivers that are behind read the list itself.
     """
     data = _pack(changes)
     if len(data) <= MAX_DATAGRAM_BYTES:
@@ -90,14 +88,14 @@
         )
         for item in changes.records
     ]
-    marks = pack_revision(changes.since), pack_revision(changes.revision)
-    values = (*marks, changes.removal_distrust_seconds, records, changes.removed)
+    revisions = pack_revision(changes.since), pack_revision(changes.revision)
+    values = (*revisions, changes.removal_distrust_seconds, records, changes.removed)
     data: bytes = msgpack.packb(values)
     return data
 
 
 def unpack_changes(data: bytes) -> ListingChanges:
-    """Return the changes of a datagram; raise FrameError."""
+    """Parse the changes of a datagram; raise FrameError."""
     try:
         match msgpack.unpackb(_decompress(data)):
             case [since, revision, float(removal_distrust_seconds), list(records), list(removed)]:
@@ -109,37 +107,37 @@
                     tuple(check_text(name) for name in removed),
                 )
     except (ValueError, TypeError, zlib.error, msgpack.UnpackException) as error:
-        raise FrameError(f"a listing datagram cannot be read: {error!r}") from None
-    raise FrameError("a datagram is no listing")
+        raise FrameError(f"listing datagram malformed: {error!r}") from None
+    raise FrameError("listing datagram with a missing or wrong field")
 
 
 def _decompress(data: bytes) -> bytes:
-    if not data.startswith(COMPRESSED):
+    if not data.startswith(ZLIB_MARKER):
         return data
     reader = zlib.decompressobj()
     content = reader.decompress(data, MAX_DECOMPRESSED_BYTES)
     if not reader.eof:
-        raise ValueError(f"it holds over {MAX_DECOMPRESSED_BYTES} bytes, or is cut off")
+        raise ValueError(f"content truncated or over {MAX_DECOMPRESSED_BYTES} bytes")
     return content
 
 
 def pack_revision(revision: StoreRevision) -> tuple[int, int]:
-    """Return the form in which hosts tell each other a revision."""
+    """Return the form of a revision in messages between hosts."""
     return revision.epoch, revision.number
 
 
 def unpack_revision(value: Any) -> StoreRevision:
-    """Return the revision of such a form; raise ValueError."""
+    """Parse the form that `pack_revision` returns; raise ValueError."""
     match value:
         case [epoch, number]:
             return StoreRevision(
                 check_integer(epoch, 0, MAX_INT64), check_integer(number, 0, MAX_INT64)
             )
-    raise ValueError(f"{value!r:.80} is no revision")
+    raise ValueError(f"{value!r:.80} is not a revision; give an epoch and a number")
 
 
 def _check_seconds(value: float) -> float:
-    return check_number(value, 0, LONGEST_DISTRUST_SECONDS)
+    return check_number(value, 0, MAX_DISTRUST_SECONDS)
 
 
 def _read_record(values: Any) -> UpstreamRecord:
@@ -160,4 +158,4 @@
                 reclaimable,
                 None if leaves_in is None else check_number(leaves_in, 0, MAX_INT64),
             )
-    raise ValueError(f"{values!r:.80} is no record")
+    raise ValueError(f"{values!r:.80} is not an upstream record")
--- a/src/swifttrestle/internal/protocol/peers.py
+++ b/src/swifttrestle/internal/protocol/peers.py
@@ -1,4 +1,4 @@
-"""Typed messages between the system's processes, and their form in frames."""
+"""Messages between entries and controllers, and their encoding in frames."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """Who a process is; `incarnation` rises with each start of the same name."""
+    """The identity of a process; `incarnation` rises with each start under the same name."""
 
     name: str
     role: str
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """What a process knows, sent at once on a change and otherwise at the heartbeat's pace.
+    """The state of a process, sent periodically and on each change.
 
-    `epochs` (accepted shards in force) and `generations` (closed and opened upstreams) are
-    None where nothing changed since the last heartbeat on the same stream. `open` counts
-    the sender's open requests on upstreams that are closed in its view. `leaving` is sent
-    by a process that has stopped and will not act again.
+    `epochs` (accepted shards in force) and `generations` (closed and reopened upstreams) are None
+    if unchanged since the last heartbeat on the same stream. `open` counts the sender's open
+    requests on upstreams that it knows as closed. `leaving` is sent by a process that has stopped
+    and will take no further action.
     """
 
     identity: Identity
@@ -58,7 +58,7 @@
 
 
 def pack_message(message: Message) -> list[Any]:
-    """Return the plain values of a message for a frame."""
+    """Return the values that encode a message in a frame."""
     match message:
         case Heartbeat(identity, epochs, generations, open_counts, leaving):
             return ["heartbeat", list(vars(identity).values()), epochs, generations, open_counts,
@@ -70,7 +70,7 @@
 
 
 def unpack_message(value: Any) -> Message:
-    """Return the message of a frame's plain values; raise FrameError."""
+    """Parse the message of a frame; raise FrameError."""
     match value:
         case ["heartbeat", identity, epochs, generations, open_counts, bool(leaving)]:
             return Heartbeat(
@@ -85,14 +85,14 @@
         case ["shard", str(name), int(epoch), list(resources)]:
             if all(isinstance(item, dict) for item in resources):
                 return ShardCopy(name, epoch, resources)
-    raise FrameError("a frame is no known message")
+    raise FrameError("frame of an unknown kind or with a wrong field")
 
 
 def _read_identity(value: Any) -> Identity:
     match value:
         case [str(name), str(role), str(host), str(zone), str(peer), int(incarnation)]:
             return Identity(name, role, host, zone, peer, incarnation)
-    raise FrameError("a heartbeat has no readable identity")
+    raise FrameError("heartbeat: identity malformed")
 
 
 def _read_counts(value: Any) -> dict[str, int]:
@@ -100,4 +100,4 @@
         isinstance(key, str) and isinstance(number, int) for key, number in value.items()
     ):
         return value
-    raise FrameError("a heartbeat has no readable table")
+    raise FrameError("heartbeat: epochs, generations or open counts malformed")
--- a/src/swifttrestle/internal/protocol/permits.py
+++ b/src/swifttrestle/internal/protocol/permits.py
@@ -1,4 +1,4 @@
-"""Datagrams by which hosts keep together to the limits that upstreams name."""
+"""Datagrams by which hosts share the rate limits that upstreams name."""
 
 import sys
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 from swifttrestle.internal.checks import MAX_INT64, check_integer, check_number
 from swifttrestle.internal.state.upstream_conditions import RateLimit
 
-# Characters that the name of a start may have in a datagram.
-LONGEST_START = 400
+# Longest accepted name of an upstream's incarnation, in characters.
+MAX_START_CHARACTERS = 400
 
 
 class PermitMessageKind(IntEnum):
-    """The first field of a datagram about limits."""
+    """The first field of a permit datagram."""
 
     ASK = 1
     ANSWER = 2
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True)
 class PermitRequest:
-    """Asks whether one request may go to a start; `number` tells the sender's asks apart."""
+    """Asks for a permit for one request to an upstream's incarnation, which `start` names.
+
+    `number` identifies the query for its sender.
+    """
 
     number: int
     start: str
@@ -37,7 +40,10 @@
 
 @dataclass(frozen=True)
 class PermitReply:
-    """Says that it may, or after how many `seconds` to ask again; with the newest word known."""
+    """Grants a permit if `seconds` is 0, or says after how many seconds to ask again.
+
+    It also carries the latest known rate limit.
+    """
 
     number: int
     start: str
@@ -47,7 +53,7 @@
 
 @dataclass(frozen=True)
 class RateLimitUpdate:
-    """Tells of a word that the sender has heard; `relay` asks the hearer to tell all others."""
+    """Reports a rate limit; `relay` asks the receiver to send it to all other hosts."""
 
     start: str
     rate_limit: RateLimit
@@ -56,7 +62,7 @@
 
 @dataclass(frozen=True)
 class LeavingUpdate:
-    """Tells of a start that has said that it leaves; `relay` as in Tell."""
+    """Reports that an upstream is draining; `relay` as in `RateLimitUpdate`."""
 
     start: str
     relay: bool = False
@@ -64,7 +70,7 @@
 
 @dataclass(frozen=True)
 class TrialRequest:
-    """Asks whether a quarantined request may be tried; `start` is the request's name."""
+    """Asks whether a quarantined request may be tried; `start` is its fingerprint."""
 
     number: int
     start: str
@@ -74,7 +80,10 @@
 
 
 def pack_message(message: Message, now: float) -> bytes:
-    """Return the datagram of a message; times go as seconds before `now`, the loop's time."""
+    """Return the datagram of a message; times are encoded as seconds before `now`.
+
+    `now` is the event loop's time.
+    """
     rate_limit = (
         RateLimit() if isinstance(message, LeavingUpdate | TrialRequest) else message.rate_limit
     )
@@ -96,10 +105,10 @@
 
 
 def unpack_message(data: bytes, now: float) -> Message:
-    """Return the message of a datagram that has just come in; raise FrameError."""
+    """Parse a datagram received at the event loop's time `now`; raise FrameError."""
     try:
         kind, number, raw_start, value, rate, age = msgpack.unpackb(data)
-        start, rate_limit = _read_start(raw_start), _read_word(rate, age, now)
+        start, rate_limit = _read_start(raw_start), _read_rate_limit(rate, age, now)
         match PermitMessageKind(kind):
             case PermitMessageKind.ASK:
                 return PermitRequest(
@@ -116,17 +125,17 @@
             case PermitMessageKind.TRIAL:
                 return TrialRequest(check_integer(number, 0, MAX_INT64), start)
     except (TypeError, ValueError, msgpack.UnpackException) as error:
-        raise FrameError(f"a word on a limit cannot be read: {error!r}") from None
+        raise FrameError(f"permit datagram malformed: {error!r}") from None
 
 
-def _read_word(rate: Any, age: Any, now: float) -> RateLimit:
+def _read_rate_limit(rate: Any, age: Any, now: float) -> RateLimit:
     at = float("-inf") if age is None else now - _read_seconds(age)
     return RateLimit(None if rate is None else _read_seconds(rate), at)
 
 
 def _read_start(raw: Any) -> str:
-    if not isinstance(raw, str) or not 0 < len(raw) <= LONGEST_START:
-        raise ValueError(f"{raw!r} names no start; give up to {LONGEST_START} characters")
+    if not isinstance(raw, str) or not 0 < len(raw) <= MAX_START_CHARACTERS:
+        raise ValueError(f"{raw!r} names no start; give 1 to {MAX_START_CHARACTERS} characters")
     return raw
 
 
--- a/src/swifttrestle/internal/protocol/platform.py
+++ b/src/swifttrestle/internal/protocol/platform.py
@@ -1,8 +1,8 @@
-"""The platform's object API and host list, behind abstract classes.
+"""Clients for the platform's object API and host list.
 
-`RestObjectApi` is the one module that knows the wire details; another platform needs
-another subclass and nothing else. Every failure to get a readable answer is raised as
-PlatformUnavailableError: a write may then have taken effect all the same.
+`RestObjectApi` contains all details of the wire format; another platform needs only another
+subclass. Any failure to get a valid response is raised as PlatformUnavailableError, after which
+a write may have taken effect.
 """
 
 from abc import ABC, abstractmethod
@@ -26,13 +26,14 @@
 
 CALL_SECONDS = 5.0
 WATCH_SILENCE_SECONDS = 10.0
-LINE_LIMIT = 2_000_000
+# Largest accepted watch event or error body, in bytes.
+MAX_LINE_BYTES = 2_000_000
 STATUS_OK, STATUS_NOT_FOUND, STATUS_CONFLICT, STATUS_GONE, STATUS_LIMIT = 200, 404, 409, 410, 429
 
 
 @dataclass(frozen=True)
 class StoredObject:
-    """An object as the platform holds it; `version` rises with each write to it."""
+    """An object as stored by the platform; `version` rises with each write to it."""
 
     kind: str
     name: str
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """All objects of a kind, and the version from which a watch goes on."""
+    """All objects of a kind, and the version from which to watch for changes."""
 
     version: int
     items: tuple[StoredObject, ...]
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class WatchEvent:
-    """One change; `stored` is None for a bookmark, which only shows that the watch lives."""
+    """One change; `stored` is None for a bookmark, which only shows that the watch is alive."""
 
     version: int
     deleted: bool
@@ -67,7 +68,7 @@
 
 
 class ObjectApi(ABC):
-    """Versions, conditional updates and watches."""
+    """Access to versioned objects, with conditional updates and watches."""
 
     @abstractmethod
     def list(self, kind: str) -> Listing:
@@ -79,30 +80,30 @@
 
     @abstractmethod
     def write(self, kind: str, name: str, spec: dict[str, Any], version: int) -> StoredObject:
-        """Write if the object's version is still this one, 0 for 'does not exist yet'."""
+        """Write if the object has this version, 0 if it must not exist; raise ConflictError."""
 
     @abstractmethod
     def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete if the object's version is still this one."""
+        """Delete if the object has this version; raise ConflictError."""
 
     @abstractmethod
     def watch(self, kinds: tuple[str, ...], since: int) -> Iterator[WatchEvent]:
-        """Yield changes after a version; raise NotFoundError where it is too long ago."""
+        """Yield changes after a version; raise NotFoundError if it is too old."""
 
 
 class HostList(ABC):
-    """Live and leaving hosts; it lags."""
+    """Access to the list of live and leaving hosts, which may be out of date."""
 
     @abstractmethod
     def read_hosts(self) -> tuple[HostRecord, ...]:
-        """Return the hosts as the platform now believes them to be."""
+        """Return all hosts that the platform lists."""
 
 
 class RestObjectApi(ObjectApi, HostList):
     """The object API and the host list over HTTP and JSON."""
 
     def __init__(self, base: str, client_name: str, key: str = "") -> None:
-        """Talk to the platform at `base`; `client_name` goes out as the user agent."""
+        """Use the platform at the URL `base`; `client_name` is sent as the user agent."""
         self._base = base + "/api/v1"
         self._headers = {"User-Agent": client_name}
         if key:
@@ -114,7 +115,7 @@
         value = self._call("GET", f"/objects/{quote(kind)}")
         items = value.get("items")
         if not isinstance(items, list):
-            raise BadPlatformAnswerError("a listing has no items")
+            raise BadPlatformAnswerError(f"list of {kind}: items must be a list")
         return Listing(_read_version(value), tuple(_read_object(item) for item in items))
 
     def read(self, kind: str, name: str) -> StoredObject:
@@ -122,24 +123,24 @@
         return _read_object(self._call("GET", _path(kind, name)))
 
     def write(self, kind: str, name: str, spec: dict[str, Any], version: int) -> StoredObject:
-        """Write if the object's version is still this one, 0 for 'does not exist yet'."""
+        """Write if the object has this version, 0 if it must not exist; raise ConflictError."""
         body = orjson.dumps({"spec": spec, "version": version})
         return _read_object(self._call("PUT", _path(kind, name), body))
 
     def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete if the object's version is still this one."""
+        """Delete if the object has this version; raise ConflictError."""
         self._call("DELETE", f"{_path(kind, name)}?version={version}")
 
     def read_hosts(self) -> tuple[HostRecord, ...]:
-        """Return the hosts as the platform now believes them to be."""
+        """Return all hosts that the platform lists."""
         try:
             items = self._call("GET", "/hosts")["hosts"]
             return tuple(HostRecord(i["name"], i["zone"], i["state"]) for i in items)
         except (KeyError, TypeError) as error:
-            raise BadPlatformAnswerError(f"the host list cannot be read: {error!r}") from None
+            raise BadPlatformAnswerError(f"host list malformed: {error!r}") from None
 
     def watch(self, kinds: tuple[str, ...], since: int) -> Iterator[WatchEvent]:
-        """Yield changes after a version; raise NotFoundError where it is too long ago."""
+        """Yield changes after a version; raise NotFoundError if it is too old."""
         url = f"{self._base}/watch?kinds={','.join(kinds)}&since={since}"
         timeout = urllib3.Timeout(connect=2.0, read=WATCH_SILENCE_SECONDS)
         try:
@@ -148,13 +149,13 @@
             )
             try:
                 if response.status != STATUS_OK:
-                    _raise_for(response.status, response.read(LINE_LIMIT))
+                    _raise_for_status(response.status, response.read(MAX_LINE_BYTES))
                 yield from _read_events(response)
             finally:
-                # Closed, not given back: an unread stream cannot be used for another call.
+                # A connection with an unread stream cannot be reused.
                 response.close()
         except (HTTPError, OSError) as error:
-            raise PlatformUnavailableError(f"the watch broke: {type(error).__name__}") from None
+            raise PlatformUnavailableError(f"watch failed: {type(error).__name__}") from None
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> dict[str, Any]:
         try:
@@ -165,15 +166,15 @@
             message = f"{method} {path}: {type(error).__name__}"
             raise PlatformUnavailableError(message) from None
         if response.status != STATUS_OK:
-            _raise_for(response.status, response.data)
-        return _load(response.data)
+            _raise_for_status(response.status, response.data)
+        return _parse_object(response.data)
 
 
 def _path(kind: str, name: str) -> str:
     return f"/objects/{quote(kind)}/{quote(name)}"
 
 
-def _raise_for(status: int, body: bytes) -> None:
+def _raise_for_status(status: int, body: bytes) -> None:
     text = body[:200].decode("utf-8", "replace")
     if status in (STATUS_NOT_FOUND, STATUS_GONE):
         raise NotFoundError(text)
@@ -184,47 +185,47 @@
     raise PlatformUnavailableError(f"status {status}: {text}")
 
 
-def _load(data: bytes) -> dict[str, Any]:
+def _parse_object(data: bytes) -> dict[str, Any]:
     try:
         value = orjson.loads(data)
     except orjson.JSONDecodeError:
-        raise BadPlatformAnswerError("the answer is no JSON") from None
+        raise BadPlatformAnswerError("response is not JSON") from None
     if not isinstance(value, dict):
-        raise BadPlatformAnswerError("the answer is no JSON object")
+        raise BadPlatformAnswerError("response is not a JSON object")
     return value
 
 
 def _read_version(value: dict[str, Any]) -> int:
     version = value.get("version")
     if not isinstance(version, int):
-        raise BadPlatformAnswerError(f"version {version!r} is no whole number")
+        raise BadPlatformAnswerError(f"version {version!r} is not an integer")
     return version
 
 
 def _read_object(value: Any) -> StoredObject:
     if not isinstance(value, dict) or not isinstance(value.get("spec"), dict):
-        raise BadPlatformAnswerError("an object has no spec")
+        raise BadPlatformAnswerError("object without a spec")
     kind, name = value.get("kind"), value.get("name")
     if not isinstance(kind, str) or not isinstance(name, str):
-        raise BadPlatformAnswerError("an object has no kind or no name")
+        raise BadPlatformAnswerError("object without a kind or without a name")
     return StoredObject(kind, name, _read_version(value), value["spec"])
 
 
 def _read_events(response: urllib3.BaseHTTPResponse) -> Iterator[WatchEvent]:
     pending = b""
-    # read1 gives what has arrived; `stream` would wait until its whole amount is there.
+    # `read1` returns the bytes that have arrived; `stream` would wait for the whole amount.
     while piece := response.read1(65536):
         pending += piece
         *lines, pending = pending.split(b"\n")
-        if len(pending) > LINE_LIMIT:
-            raise BadPlatformAnswerError("a watch event is too long")
+        if len(pending) > MAX_LINE_BYTES:
+            raise BadPlatformAnswerError(f"watch event of over {MAX_LINE_BYTES} bytes")
         for line in lines:
             yield _read_event(line)
-    raise PlatformUnavailableError("the watch ended")
+    raise PlatformUnavailableError("watch ended by the platform")
 
 
 def _read_event(line: bytes) -> WatchEvent:
-    value = _load(line)
+    value = _parse_object(line)
     version = _read_version(value)
     if value.get("type") == "bookmark":
         return WatchEvent(version, False, None)
--- a/src/swifttrestle/internal/protocol/prefixes.py
+++ b/src/swifttrestle/internal/protocol/prefixes.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes as engines name them in cache events: one digest a block of tokens."""
+"""Digests of prompt prefixes, one per block of tokens, as in engines' cache events."""
 
 import zlib
 
@@ -6,7 +6,7 @@
 
 
 def split_blocks(prompt: str) -> tuple[int, ...]:
-    """Return the digest of each whole block's prefix, the first block's first."""
+    """Return the digest of the prefix up to each complete block, in order."""
     words = prompt.split()
     digest = 0
     blocks = []
@@ -18,5 +18,5 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Return a prompt's length in tokens, estimated by its words."""
+    """Return an estimate of a prompt's length in tokens: its number of words."""
     return max(1, len(prompt.split()))
--- a/src/swifttrestle/internal/protocol/quarantine.py
+++ b/src/swifttrestle/internal/protocol/quarantine.py
@@ -1,7 +1,7 @@
-"""What gateways tell each other of requests under which upstreams crashed, as datagrams.
+"""Datagrams between gateways about requests that were open as upstreams crashed.
 
-A datagram may come twice, late or never: all it says is put together with what is known, and what
-was said twice counts once.
+Datagrams may be lost, late or duplicated: receivers merge their content, and duplicates have no
+effect.
 """
 
 from collections.abc import Iterable, Iterator
@@ -18,18 +18,17 @@
     RequestFingerprint,
 )
 
-# Cases in one datagram: each takes 170 bytes with four crashes of usual names.
+# Records per datagram; one with four crashes and usual names takes about 170 bytes.
 RECORDS_PER_DATAGRAM = MAX_DATAGRAM_BYTES // 172
-# Crashes that a case may have in a datagram, more than hosts keep of one: a later version may keep
-# more.
-MOST_TOLD_CRASHES = 16
-# Characters that the name of a start may have in a datagram.
-LONGEST_START = 200
+# Most crashes accepted per record. Hosts keep fewer, but later versions may keep more.
+MAX_CRASHES = 16
+# Longest accepted name of an upstream's incarnation, in characters.
+MAX_START_CHARACTERS = 200
 
 
 @dataclass(frozen=True)
 class Clearance:
-    """Says that a request got its own answer, at the loop's time `at`."""
+    """Reports that a request got its own response, at the event loop's time `at`."""
 
     name: RequestFingerprint
     at: float
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True)
 class CrashUpdate:
-    """Cases and acquittals; `wants_all` wants all that the hearer keeps from upstreams."""
+    """Crash records and clearances; `wants_all` requests all that the receiver has quarantined."""
 
     records: tuple[CrashRecord, ...] = ()
     clearances: tuple[Clearance, ...] = ()
@@ -45,7 +44,7 @@
 
 
 def split_records(records: Iterable[CrashRecord]) -> Iterator[CrashUpdate]:
-    """Yield news of all cases, each small enough for one datagram."""
+    """Split records into updates that each fit one datagram."""
     part: list[CrashRecord] = []
     for case in records:
         part.append(case)
@@ -57,7 +56,10 @@
 
 
 def pack_crash_update(news: CrashUpdate, now: float) -> bytes:
-    """Return the datagram of news; times go as seconds before `now`, the loop's time."""
+    """Return the datagram of an update; times are encoded as seconds before `now`.
+
+    `now` is the event loop's time.
+    """
     records = [
         (
             pack_fingerprint(case.name),
@@ -73,11 +75,11 @@
 
 
 def unpack_crash_update(data: bytes, now: float) -> CrashUpdate:
-    """Return the news of a datagram that has just come in; raise FrameError."""
+    """Parse a datagram received at the event loop's time `now`; raise FrameError."""
     try:
         records, clearances, wants_all = msgpack.unpackb(data)
         return CrashUpdate(
-            tuple(_read_case(name, crashes, now) for name, crashes in records),
+            tuple(_read_record(name, crashes, now) for name, crashes in records),
             tuple(
                 Clearance(unpack_fingerprint(name), now - _read_age(age))
                 for name, age in clearances
@@ -85,35 +87,35 @@
             bool(wants_all),
         )
     except (TypeError, ValueError, msgpack.UnpackException) as error:
-        raise FrameError(f"news of crashes cannot be read: {error!r}") from None
+        raise FrameError(f"crash datagram malformed: {error!r}") from None
 
 
-def _read_case(name: Any, crashes: Any, now: float) -> CrashRecord:
+def _read_record(name: Any, crashes: Any, now: float) -> CrashRecord:
     read = tuple(Crash(_read_start(start), now - _read_age(age)) for start, age in crashes)
-    if not 0 < len(read) <= MOST_TOLD_CRASHES:
-        raise ValueError(f"{len(read)} crashes; give 1 to {MOST_TOLD_CRASHES}")
+    if not 0 < len(read) <= MAX_CRASHES:
+        raise ValueError(f"{len(read)} crashes; give 1 to {MAX_CRASHES}")
     return CrashRecord(unpack_fingerprint(name), read)
 
 
 def unpack_fingerprint(raw: Any) -> RequestFingerprint:
-    """Return a name as `pack_fingerprint` writes it; raise ValueError."""
+    """Parse the bytes that `pack_fingerprint` returns; raise ValueError."""
     if not isinstance(raw, bytes) or len(raw) != 2 * FINGERPRINT_HALF_BYTES:
-        raise ValueError(f"{raw!r} is no name; give {2 * FINGERPRINT_HALF_BYTES} bytes")
+        raise ValueError(f"{raw!r} is no fingerprint; give {2 * FINGERPRINT_HALF_BYTES} bytes")
     return RequestFingerprint(raw[:FINGERPRINT_HALF_BYTES], raw[FINGERPRINT_HALF_BYTES:])
 
 
 def _read_start(raw: Any) -> str:
-    if not isinstance(raw, str) or not 0 < len(raw) <= LONGEST_START:
-        raise ValueError(f"{raw!r} names no start; give up to {LONGEST_START} characters")
+    if not isinstance(raw, str) or not 0 < len(raw) <= MAX_START_CHARACTERS:
+        raise ValueError(f"{raw!r} names no start; give 1 to {MAX_START_CHARACTERS} characters")
     return raw
 
 
 def _read_age(raw: Any) -> float:
     if not isinstance(raw, float) or not 0 <= raw < float("inf"):
-        raise ValueError(f"{raw!r} is no age; give seconds from 0")
+        raise ValueError(f"{raw!r} is no age; give a number of seconds from 0")
     return raw
 
 
 def pack_fingerprint(name: RequestFingerprint) -> bytes:
-    """Return a name as `unpack_fingerprint` reads it."""
+    """Return the bytes of a fingerprint."""
     return name.head + name.body
--- a/src/swifttrestle/internal/protocol/rosters.py
+++ b/src/swifttrestle/internal/protocol/rosters.py
@@ -1,8 +1,8 @@
-"""Datagrams by which a zone's representatives tell who lives, in a large fleet.
+"""Datagrams by which zone aggregators (representatives) report live hosts, in a large fleet.
 
-A roster is the list of a zone's live hosts as one representative hears them. It is named by
-its digest, so that a summary of a few bytes confirms it again and again; its entries cross
-the network only where a host does not know them yet.
+A roster lists the live hosts of a zone, by the heartbeats that one aggregator receives. It is
+identified by its digest, so that a small summary confirms it periodically; its entries are sent
+only to hosts that do not have them yet.
 """
 
 import hashlib
@@ -16,10 +16,10 @@
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.state.members import Member
 
-# Entries in one datagram: some 45 bytes each, under one packet of the usual links.
+# Entries per datagram, of about 45 bytes each, so that it fits one packet of a usual link.
 ENTRIES_PER_PART = 24
-# Parts that a roster may have; more is no roster but a fault.
-MOST_PARTS = 64
+# Most parts accepted per roster.
+MAX_PARTS = 64
 
 
 class RosterMessageKind(IntEnum):
@@ -39,11 +39,11 @@
 
     @classmethod
     def of(cls, zone: str, members: Iterable[Member]) -> "Roster":
-        """Return the roster of members in any order."""
+        """Return the roster of members given in any order."""
         return cls(zone, tuple(sorted(members, key=lambda member: member.host)))
 
     def digest(self) -> bytes:
-        """Return the name of this roster: equal for equal members."""
+        """Return the digest that identifies this roster; equal for equal members."""
         entries = [(item.host, item.ip, item.link_mbps) for item in self.members]
         data = msgpack.packb((self.zone, entries))
         return hashlib.blake2b(data, digest_size=8).digest()
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class RosterConfirmation:
-    """Confirms a roster: its digest, and how many seconds ago it was true."""
+    """Confirms that the roster with this digest was current `age` seconds ago."""
 
     digest: bytes
     age: float
@@ -59,13 +59,12 @@
 
 @dataclass(frozen=True)
 class RosterSummary:
-    """What a representative tells its zone and the other zones' representatives.
+    """The periodic report of a zone aggregator to its zone and to other aggregators.
 
-    `own` is the mark of its own zone's roster, `others` are those that it heard from other
-    representatives. `role_holder` is the host of its zone that holds the lease on roles, if
-    any. `demand` is what the callers of all its zone offer, by service; `roles` maps an engine
-    to the role that it has been ordered to and the seconds until it has that, below zero where
-    it should have it already.
+    `own` confirms the roster of its own zone, `others` those received from other aggregators.
+    `role_holder` is the host of its zone that holds the duty lease, or empty. `demand` is the load
+    offered by all callers of its zone, by service. `roles` maps an engine to its ordered role and
+    the seconds until that takes effect, negative if it should have already.
     """
 
     host: str
@@ -115,7 +114,7 @@
     """Return the datagram of a message."""
     match message:
         case RosterSummary():
-            marks = [(mark.digest, mark.age) for mark in (message.own, *message.others)]
+            confirmed = [(roster.digest, roster.age) for roster in (message.own, *message.others)]
             values: list[Any] = [
                 RosterMessageKind.SUMMARY,
                 message.host,
@@ -125,7 +124,7 @@
                 message.config_version,
                 message.store_unreachable,
                 message.role_holder,
-                marks,
+                confirmed,
                 message.demand,
                 message.roles,
             ]
@@ -139,11 +138,11 @@
 
 
 def unpack_roster_message(data: bytes) -> RosterMessage:
-    """Return the message of a datagram; raise FrameError."""
+    """Parse a datagram; raise FrameError."""
     try:
         return _read(msgpack.unpackb(data))
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise FrameError(f"a roster datagram cannot be read: {error!r}") from None
+        raise FrameError(f"roster datagram malformed: {error!r}") from None
 
 
 def _read(values: Any) -> RosterMessage:
@@ -155,7 +154,7 @@
         ]:  # fmt: skip
             return RosterSummary(
                 host, zone, link, incarnation, version, store_unreachable, holder,
-                _read_mark(own), tuple(map(_read_mark, others)),
+                _read_confirmation(own), tuple(map(_read_confirmation, others)),
                 {
                     str(name): (float(read), float(slots), float(read_slots))
                     for name, (read, slots, read_slots) in demand.items()
@@ -166,21 +165,21 @@
             return RosterRequest(tuple(_read_digest(item) for item in digests))
         case [
             RosterMessageKind.PART, digest, str(zone), int(number), int(parts), list(entries)
-        ] if 0 <= number < parts <= MOST_PARTS:  # fmt: skip
+        ] if 0 <= number < parts <= MAX_PARTS:  # fmt: skip
             return RosterPart(
                 _read_digest(digest), zone, number, parts, _read_members(zone, entries)
             )
-    raise FrameError("a roster datagram is of no known kind")
+    raise FrameError("roster datagram of an unknown kind or with a wrong field")
 
 
-def _read_mark(value: Any) -> RosterConfirmation:
+def _read_confirmation(value: Any) -> RosterConfirmation:
     digest, age = value
     return RosterConfirmation(_read_digest(digest), float(age))
 
 
 def _read_digest(value: Any) -> bytes:
     if not isinstance(value, bytes):
-        raise TypeError("a digest is no bytes")
+        raise TypeError(f"{value!r:.80} is not a digest in bytes")
     return value
 
 
--- a/src/swifttrestle/internal/protocol/usage.py
+++ b/src/swifttrestle/internal/protocol/usage.py
@@ -1,4 +1,4 @@
-"""Datagrams in which hosts tell what they have counted of a window."""
+"""Datagrams with a host's usage counts of a time window."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -9,14 +9,14 @@
 from swifttrestle.internal.checks import MAX_INT64, check_integer, check_text
 from swifttrestle.internal.state.usage import WindowCounts
 
-# Workspaces that one datagram tells of: with names of up to 20 characters it stays in one packet.
+# Workspaces per datagram; with names of up to 20 characters it fits one packet.
 WORKSPACES_PER_PART = 50
-# The latest window that a datagram may name: one second each until long after the year 10,000.
-LATEST_WINDOW = 2**48
+# Highest accepted number of a window.
+MAX_WINDOW = 2**48
 
 
 def split_counts(counts: WindowCounts) -> Iterator[bytes]:
-    """Return the datagrams of a window's counts."""
+    """Yield the datagrams of a window's counts."""
     items = sorted(counts.counts.items())
     for start in range(0, len(items), WORKSPACES_PER_PART):
         part = dict(items[start : start + WORKSPACES_PER_PART])
@@ -24,19 +24,19 @@
 
 
 def unpack_counts(data: bytes) -> WindowCounts:
-    """Return the counts of a datagram; raise FrameError."""
+    """Parse the counts of a datagram; raise FrameError."""
     try:
         values: Any = msgpack.unpackb(data)
         match values:
             case [str(source), window, dict(counts)]:
                 return WindowCounts(
                     source,
-                    check_integer(window, 0, LATEST_WINDOW),
+                    check_integer(window, 0, MAX_WINDOW),
                     {
                         check_text(name): check_integer(count, 0, MAX_INT64)
                         for name, count in counts.items()
                     },
                 )
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise FrameError(f"a datagram of counts cannot be read: {error!r}") from None
-    raise FrameError("a datagram holds no counts")
+        raise FrameError(f"usage datagram malformed: {error!r}") from None
+    raise FrameError("usage datagram with a missing or wrong field")
