--- a/src/swifttrestle/internal/transport/caller.py
+++ b/src/swifttrestle/internal/transport/caller.py
@@ -1,7 +1,7 @@
-"""Callers' connections: strict requests in, answers out, one task for each connection.
+"""Connections of callers: strict parsing of requests, one task per connection.
 
-A request's handler runs as part of the connection's task. Where the caller closes, that
-task is cancelled, so that whatever the handler holds is given back at once.
+A request's handler runs in the connection's task. If the caller closes the connection, the task is
+cancelled, so that the handler releases its resources at once.
 """
 
 import asyncio
@@ -22,32 +22,32 @@
     Header,
     RequestHead,
     find_header,
-    write_answer_head,
     write_chunk,
+    write_response_head,
 )
 
 BAD_REQUEST = 400
 REQUEST_TIMEOUT = 408
 BODY_TOO_LARGE = 413
 HEADER_TOO_LARGE = 431
-# Requests that may wait behind the one in work on a connection before reading is held up.
+# Pipelined requests that may wait behind the current one before reading from the connection pauses.
 PIPELINE_DEPTH = 1
 
 
 class ResponseWriter(ABC):
-    """Where a handler writes its answer."""
+    """Writes the response to a request."""
 
     started: bool = False
 
     @abstractmethod
     async def send_whole(self, status: int, headers: Sequence[Header], content: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     @abstractmethod
     async def start(
         self, status: int, headers: Sequence[Header], framing: Framing, length: int
     ) -> None:
-        """Send the head of an answer whose body follows."""
+        """Send the head of a response whose body follows."""
 
     @abstractmethod
     async def send(self, data: bytes) -> None:
@@ -55,16 +55,16 @@
 
     @abstractmethod
     async def end(self) -> None:
-        """End the answer as whole."""
+        """Complete the response."""
 
     @abstractmethod
     def abort(self) -> None:
-        """Reset the connection, so that what was sent cannot be taken for a whole answer."""
+        """Reset the connection, so that the caller cannot take the response for complete."""
 
 
 @dataclass(frozen=True)
 class IncomingRequest:
-    """One request of a caller; `received` is the loop's time when its head was whole."""
+    """One request of a caller; `received` is the event loop's time when its head was complete."""
 
     head: RequestHead
     body: Body
@@ -72,33 +72,32 @@
 
 
 class RequestHandler(ABC):
-    """Answers requests."""
+    """Handles the requests of callers."""
 
     @abstractmethod
     async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        """Answer one request; cancelled where the caller leaves."""
+        """Respond to one request; cancelled if the caller disconnects."""
 
     @abstractmethod
     def limits(self) -> Limits:
-        """Return what a caller may send now."""
+        """Return the current limits on requests."""
 
 
 class ConnectionSet:
-    """All open connections of a listener; asks them to close politely at a planned stop."""
+    """All open connections of a listener, which it closes gracefully at a planned stop."""
 
     def __init__(self) -> None:
-        """Start with none."""
         self.open: set[CallerConnection] = set()
         self.closing = False
 
     def close_idle(self) -> None:
-        """Close connections without a request; the others close after their answer."""
+        """Close connections without a request; the others close after their response."""
         self.closing = True
         for connection in list(self.open):
             connection.close_if_idle()
 
     def count_busy(self) -> int:
-        """Return the connections that have a request in work."""
+        """Return the number of connections with a request in progress."""
         return sum(1 for connection in self.open if connection.busy)
 
 
@@ -106,7 +105,7 @@
     """One connection of a caller."""
 
     def __init__(self, handler: RequestHandler, connections: ConnectionSet) -> None:
-        """Serve requests by a handler."""
+        """Pass requests to a handler."""
         self._handler = handler
         self._connections = connections
         self._loop = asyncio.get_running_loop()
@@ -118,15 +117,15 @@
         self._target = b""
         self._body: Body | None = None
         self._requests: deque[tuple[IncomingRequest, bool]] = deque()
-        self._arrived = asyncio.Event()
+        self._request_arrived = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._writable = asyncio.Event()
         self._writable.set()
         self._refusal = 0
         self._framing = Framing.NONE
-        self._keep = True
-        self._in_head = False
+        self._keep_alive = True
+        self._reading_head = False
         self.busy = False
 
     # Called by the event loop.
@@ -137,13 +136,13 @@
         self._transport = transport
         self._connections.open.add(self)
         self._task = asyncio.ensure_future(self._serve())
-        self._watch_idle()
+        self._start_idle_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the caller."""
+        """Parse received bytes."""
         if self._refusal:
             return
-        if not self._in_head and self._body is None:
+        if not self._reading_head and self._body is None:
             self._begin_head()
         try:
             self._parser.feed_data(data)
@@ -153,24 +152,26 @@
             self._refuse(self._refusal or BAD_REQUEST)
 
     def eof_received(self) -> bool:
-        """Take a half-closed connection as closed: nobody waits for the answer."""
+        """Treat a half-closed connection as closed."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel what is in work for this caller."""
+        """Cancel the request in progress."""
         self._connections.open.discard(self)
         self._stop_timer()
         if self._body is not None:
-            self._body.fail(UpstreamBrokenError("the caller broke its request off", sent=True))
+            self._body.fail(
+                UpstreamBrokenError("caller disconnected during its request", sent=True)
+            )
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Hold the writer: the caller does not read."""
+        """Pause the writer, since the caller does not read."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let the writer go on."""
+        """Resume the writer."""
         self._writable.set()
 
     # Called by the parser.
@@ -186,9 +187,9 @@
         self._count_header(len(name) + len(value) + 4)
 
     def on_headers_complete(self) -> None:
-        """Queue the request; its body may still be on its way."""
+        """Queue the request; its body may follow later."""
         self._stop_timer()
-        self._in_head = False
+        self._reading_head = False
         framing, length = self._find_framing()
         if length > self._limits.body_bytes:
             self._refuse_now(BODY_TOO_LARGE)
@@ -201,19 +202,19 @@
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request = IncomingRequest(head, self._body, self._loop.time())
         self._requests.append((request, self._parser.should_keep_alive()))
-        self._arrived.set()
-        self._hold_reading_if_full()
+        self._request_arrived.set()
+        self._pause_reading_if_full()
 
     def on_body(self, data: bytes) -> None:
-        """Pass bytes of the request's body on."""
+        """Append bytes to the request's body."""
         assert self._body is not None
         if self._body.size + len(data) > self._limits.body_bytes:
             self._refuse_now(BODY_TOO_LARGE)
         self._body.feed(data)
-        self._hold_reading_if_full()
+        self._pause_reading_if_full()
 
     def on_message_complete(self) -> None:
-        """End the body and make ready for the next request."""
+        """Complete the body and prepare for the next request."""
         if self._body is not None:
             self._body.end()
         self._body = None
@@ -224,7 +225,7 @@
     # Called by handlers.
 
     async def send_whole(self, status: int, headers: Sequence[Header], content: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         await self.start(status, headers, Framing.LENGTH, len(content))
         await self.send(content)
         await self.end()
@@ -232,13 +233,13 @@
     async def start(
         self, status: int, headers: Sequence[Header], framing: Framing, length: int
     ) -> None:
-        """Send the head of an answer whose body follows."""
+        """Send the head of a response whose body follows."""
         self.started = True
-        # A body that would end with its connection is sent in chunks, so that its end shows.
+        # A body that ends with the upstream's connection is sent in chunks, to mark its end.
         self._framing = Framing.CHUNKED if framing is Framing.CLOSE else framing
         if self._connections.closing:
-            self._keep = False
-        self._write(write_answer_head(status, headers, self._framing, length, self._keep))
+            self._keep_alive = False
+        self._write(write_response_head(status, headers, self._framing, length, self._keep_alive))
 
     async def send(self, data: bytes) -> None:
         """Send bytes of the body; waits while the caller does not read."""
@@ -248,21 +249,21 @@
         self._write(write_chunk(data) if self._framing is Framing.CHUNKED else data)
 
     async def end(self) -> None:
-        """End the answer as whole."""
+        """Complete the response."""
         if self._framing is Framing.CHUNKED:
             self._write(LAST_CHUNK)
 
     def abort(self) -> None:
-        """Reset the connection, so that what was sent cannot be taken for a whole answer."""
+        """Reset the connection, so that the caller cannot take the response for complete."""
         if self._transport is not None:
             self._transport.abort()
 
     # Used by the set of connections.
 
     def close_if_idle(self) -> None:
-        """Close politely where no request is in work."""
-        self._keep = False
-        if not self.busy and not self._requests and not self._in_head:
+        """Close unless a request is in progress; otherwise close after its response."""
+        self._keep_alive = False
+        if not self.busy and not self._requests and not self._reading_head:
             self._close()
 
     # The connection's task.
@@ -270,23 +271,23 @@
     async def _serve(self) -> None:
         while True:
             while not self._requests:
-                self._arrived.clear()
-                await self._arrived.wait()
-            request, keep = self._requests.popleft()
-            self._keep = self._keep and keep
+                self._request_arrived.clear()
+                await self._request_arrived.wait()
+            request, keep_alive = self._requests.popleft()
+            self._keep_alive = self._keep_alive and keep_alive
             self.started = False
             self.busy = True
             try:
                 await self._handler.handle(request, self)
             except Exception as error:
-                # A fault of the program: its caller must see a broken answer, not silence.
+                # After an unexpected exception, the caller must see a broken response, not a hang.
                 log_event("request handler failed", error=repr(error))
                 self.abort()
                 return
             self.busy = False
-            if not request.body.complete or not self._keep:
-                # An answer that came before its request was whole is that request's only one,
-                # and what follows on the connection cannot be trusted.
+            if not request.body.complete or not self._keep_alive:
+                # After a response to an incomplete request, the rest of that request would be
+                # parsed as the next one.
                 self._close()
                 return
             if self._refusal and not self._requests:
@@ -294,7 +295,7 @@
                 self._close()
                 return
             self._resume_reading()
-            self._watch_idle()
+            self._start_idle_timer()
 
     def _find_framing(self) -> tuple[Framing, int]:
         lengths = [value for name, value in self._headers if name.lower() == b"content-length"]
@@ -312,15 +313,15 @@
         return Framing.NONE, 0
 
     def _begin_head(self) -> None:
-        self._in_head = True
+        self._reading_head = True
         self._limits = self._handler.limits()
-        self._start_timer(self._limits.header_seconds, self._end_slow_head)
+        self._start_timer(self._limits.header_seconds, self._refuse_slow_head)
 
-    def _end_slow_head(self) -> None:
+    def _refuse_slow_head(self) -> None:
         self._refuse(REQUEST_TIMEOUT)
 
-    def _watch_idle(self) -> None:
-        if not self._in_head and not self._requests:
+    def _start_idle_timer(self) -> None:
+        if not self._reading_head and not self._requests:
             self._start_timer(self._handler.limits().idle_seconds, self.close_if_idle)
 
     def _count_header(self, size: int) -> None:
@@ -333,31 +334,31 @@
         raise _RefusedError
 
     def _refuse(self, status: int) -> None:
-        """Answer what cannot be read after the requests before it, and close."""
+        """Respond with an error status after the requests before, and close."""
         self._refusal = status
         self._stop_timer()
         if self._body is not None:
-            self._body.fail(UpstreamBrokenError("the request cannot be read", sent=True))
+            self._body.fail(UpstreamBrokenError(f"request refused with status {status}", sent=True))
         if not self.busy and not self._requests:
             self._write_refusal()
             self._close()
 
     def _write_refusal(self) -> None:
-        self._write(write_answer_head(self._refusal, (), Framing.LENGTH, 0, keep=False))
+        self._write(write_response_head(self._refusal, (), Framing.LENGTH, 0, keep_alive=False))
 
-    def _hold_reading_if_full(self) -> None:
-        overfull = self._body is not None and self._body.overfull
-        if (overfull or len(self._requests) > PIPELINE_DEPTH) and self._transport is not None:
+    def _pause_reading_if_full(self) -> None:
+        full = self._body is not None and self._body.above_high_water
+        if (full or len(self._requests) > PIPELINE_DEPTH) and self._transport is not None:
             self._transport.pause_reading()
 
     def _resume_reading(self) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _start_timer(self, seconds: float, act: object) -> None:
+    def _start_timer(self, seconds: float, callback: object) -> None:
         self._stop_timer()
-        assert callable(act)
-        self._timer = self._loop.call_later(seconds, act)
+        assert callable(callback)
+        self._timer = self._loop.call_later(seconds, callback)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -374,4 +375,4 @@
 
 
 class _RefusedError(Exception):
-    """Leaves the parser; the status stands in the connection."""
+    """Stops the parser; the connection holds the status."""
--- a/src/swifttrestle/internal/transport/datagrams.py
+++ b/src/swifttrestle/internal/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""The one datagram socket between gateways; the first byte of a datagram tells its kind."""
+"""The datagram socket between gateways; the first byte of a datagram is its kind."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class DatagramKind(IntEnum):
-    """What a datagram holds."""
+    """The content of a datagram."""
 
     REPORT = 1
     BOOKING = 2
@@ -24,35 +24,35 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Sends datagrams to peers' IPs and hands those received to the receiver of their kind."""
+    """Sends datagrams to peers and passes received ones to the receiver of their kind."""
 
     def __init__(self, ip: str, port: int) -> None:
-        """Use one address; all hosts use the same port."""
+        """Use an address; all hosts use the same port."""
         self.ip = ip
         self.port = port
         self._receivers: dict[int, Receiver] = {}
         self._transport: asyncio.DatagramTransport | None = None
 
     def receive(self, kind: DatagramKind, receiver: Receiver) -> None:
-        """Hand datagrams of a kind, with their sender's IP, to `receiver`.
+        """Pass datagrams of a kind, with their sender's IP, to `receiver`.
 
-        It may raise FrameError for one that it cannot read.
+        The receiver raises FrameError for a malformed datagram.
         """
         self._receivers[kind] = receiver
 
     async def open(self) -> None:
-        """Listen; raise OSError."""
+        """Bind the socket; raise OSError."""
         loop = asyncio.get_running_loop()
         address = (self.ip, self.port)
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=address)
 
     def send(self, ip: str, kind: DatagramKind, data: bytes) -> None:
-        """Send a datagram, if the socket is open."""
+        """Send a datagram if the socket is open."""
         if self._transport is not None:
             self._transport.sendto(bytes((kind,)) + data, (ip, self.port))
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
@@ -60,14 +60,14 @@
     # Called by the event loop.
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a datagram over; one that cannot be read is logged and skipped."""
+        """Dispatch a datagram; a malformed one is logged and skipped."""
         try:
             receiver = self._receivers.get(data[0]) if data else None
             if receiver is None:
-                raise FrameError("a datagram is of no known kind")
+                raise FrameError(f"datagram of an unknown kind: {data[:1]!r}")
             receiver(data[1:], addr[0])
         except FrameError as error:
             log_event("datagram skipped", sender=addr[0], reason=str(error))
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over a peer that nobody listens for; its silence says the same."""
+        """Ignore errors of unreachable peers, which failure detection handles."""
--- a/src/swifttrestle/internal/transport/http.py
+++ b/src/swifttrestle/internal/transport/http.py
@@ -1,8 +1,7 @@
-"""HTTP servers by cheroot and clients by urllib3, as the rest of the system sees them.
+"""HTTP servers based on cheroot and clients based on urllib3.
 
-The one thing out of the ordinary is `Exchange.hand_over`: a worker thread may give the
-caller's socket away once the answer's first bytes are known, so that an open stream holds
-no thread. The reason and the figures are in docs/design/relay.md.
+`Exchange.hand_over` lets a worker thread give the caller's socket away once a response has begun,
+so that an open stream occupies no thread; see docs/design/relay.md.
 """
 
 import socket
@@ -18,17 +17,17 @@
 from swifttrestle.errors import RefusedError
 
 LISTEN_BACKLOG = 1024
-HEADER_SECONDS = 10
-DEFAULT_BODY_LIMIT = 4_000_000
-DEFAULT_HEADER_LIMIT = 32_768
+REQUEST_TIMEOUT_SECONDS = 10
+DEFAULT_MAX_BODY_BYTES = 4_000_000
+DEFAULT_MAX_HEADER_BYTES = 32_768
 JSON = "application/json"
 
 
 class Exchange:
-    """One request of a caller and the answer to it."""
+    """One request of a caller and its response."""
 
     def __init__(self, request: Any) -> None:
-        """Wrap the HTTP library's request."""
+        """Wrap a request of cheroot."""
         self._request = request
         self.method: str = request.method.decode("latin-1")
         self.path: str = request.path.decode("latin-1")
@@ -44,12 +43,12 @@
         return value.decode("latin-1")
 
     def read_body(self) -> bytes:
-        """Return the whole body; the server has checked its length against the limit."""
+        """Return the complete body, whose length the server limits."""
         self._body_read = True
         return self._request.rfile.read()
 
     def discard_body(self) -> None:
-        """Read what is left of the body, so that the connection can carry another request."""
+        """Read an unread body, so that the connection can be reused."""
         if not self._body_read:
             self.read_body()
 
@@ -60,7 +59,7 @@
         content_type: str = JSON,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.replied = True
         request = self._request
         request.status = f"{status} {_REASONS.get(status, 'Status')}".encode()
@@ -75,14 +74,14 @@
     def reply_json(
         self, status: int, value: Any, headers: tuple[tuple[str, str], ...] = ()
     ) -> None:
-        """Send a JSON answer."""
+        """Send a complete response in JSON."""
         self.reply(status, orjson.dumps(value, default=str), JSON, headers)
 
     def detach_socket(self) -> socket.socket:
-        """Take the caller's socket from the server; whoever gets it sends the answer.
+        """Detach the caller's socket from the server and return it; its owner sends the response.
 
-        The server's own socket object is left without a descriptor, and `linger` tells the
-        library not to shut the connection down when it drops that object.
+        The server's socket object is left without a descriptor, and `linger` keeps cheroot from
+        shutting the connection down when it drops that object.
         """
         self.replied = True
         request = self._request
@@ -101,11 +100,11 @@
 
 
 class Handler(ABC):
-    """Answers the requests of one HTTP server; called in the server's worker threads."""
+    """Handles the requests of one HTTP server; called in the server's worker threads."""
 
     @abstractmethod
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request, by `reply` or by `detach_socket`."""
+        """Respond to one request by `reply`, or take its socket by `detach_socket`."""
 
 
 class _Gateway(Gateway):
@@ -117,46 +116,46 @@
         exchange = Exchange(self.req)
         self._handler.handle(exchange)
         if not exchange.replied:
-            exchange.reply_json(500, {"error": {"message": "no answer was made"}})
+            exchange.reply_json(500, {"error": {"message": "the handler sent no response"}})
 
 
 def make_server(
     address: tuple[str, int],
     handler: Handler,
     threads: int,
-    max_body: int = DEFAULT_BODY_LIMIT,
-    max_header: int = DEFAULT_HEADER_LIMIT,
+    max_body: int = DEFAULT_MAX_BODY_BYTES,
+    max_header: int = DEFAULT_MAX_HEADER_BYTES,
 ) -> HTTPServer:
-    """Bind a server; the caller runs `serve()` in a thread and ends it with `stop()`."""
+    """Return a bound server, to be run by `serve()` in a thread and ended by `stop()`."""
     server = HTTPServer(address, lambda request: _Gateway(request, handler), minthreads=threads)
     server.max_request_body_size = max_body
     server.max_request_header_size = max_header
     server.request_queue_size = LISTEN_BACKLOG
-    server.timeout = HEADER_SECONDS
+    server.timeout = REQUEST_TIMEOUT_SECONDS
     server.shutdown_timeout = 1
     server.prepare()
     return server
 
 
 def server_address(server: HTTPServer) -> str:
-    """Return the address a server is bound to, as HOST:PORT."""
+    """Return the address to which a server is bound, as HOST:PORT."""
     host, port = server.bind_addr[:2]
     return f"{host}:{port}"
 
 
 def parse_json_object(body: bytes) -> dict[str, Any]:
-    """Return a JSON object; raise RefusedError with BAD_REQUEST for anything else."""
+    """Parse a JSON object; raise RefusedError with BAD_REQUEST for anything else."""
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise RefusedError(Code.BAD_REQUEST, f"the body is no JSON: {error}") from None
+        raise RefusedError(Code.BAD_REQUEST, f"the body is not JSON: {error}") from None
     if not isinstance(value, dict):
-        raise RefusedError(Code.BAD_REQUEST, "the body is no JSON object")
+        raise RefusedError(Code.BAD_REQUEST, "the body is not a JSON object")
     return value
 
 
 def make_client(timeout: float, connections: int = 4) -> urllib3.PoolManager:
-    """Return a client that keeps connections and neither retries nor follows redirects."""
+    """Return a client with pooled connections that neither retries nor follows redirects."""
     return urllib3.PoolManager(
         num_pools=64,
         maxsize=connections,
--- a/src/swifttrestle/internal/transport/messages.py
+++ b/src/swifttrestle/internal/transport/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as they pass through a host: heads, streamed bodies, their written form."""
+"""HTTP messages: heads, streamed bodies and their encoding."""
 
 import asyncio
 from collections import deque
@@ -11,12 +11,12 @@
 
 Header = tuple[bytes, bytes]
 
-# Unread bytes of one body at which its sender is held up; two of the usual socket reads.
+# Unread bytes of a body above which reading from its sender pauses.
 HIGH_WATER_BYTES = 128 * 1024
 
 
 class Framing(Enum):
-    """How the end of a body is known."""
+    """How the end of a body is determined."""
 
     NONE = "no body"
     LENGTH = "length"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class RequestHead:
-    """The head of a request; `headers` keep the caller's spelling and order."""
+    """The head of a request; `headers` have the caller's spelling and order."""
 
     method: bytes
     target: bytes
@@ -41,7 +41,11 @@
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """The head of an upstream's answer."""
+    """The head of an upstream's response.
+
+    `closes` says that the connection ends after it. `keep_seconds` is the timeout in its Keep-Alive
+    header, or None.
+    """
 
     status: int
     headers: tuple[Header, ...]
@@ -52,26 +56,25 @@
 
 
 class Body:
-    """The bytes of one message, read while they arrive.
+    """The body of one message, which can be read while it arrives.
 
-    With `keep` all bytes stay, so that they can be sent to more than one upstream; without
-    it each byte is dropped once it has been read.
+    With `keep`, all bytes stay in memory, so that they can be sent to another upstream in a retry;
+    without it, bytes are dropped once they have been read.
     """
 
     def __init__(self, keep: bool = True) -> None:
-        """Start with nothing arrived."""
         self.keep = keep
         self.size = 0
         self._chunks: deque[bytes] = deque()
         self._dropped = 0
         self._ended = False
         self._error: Exception | None = None
-        self._more = asyncio.Event()
+        self._changed = asyncio.Event()
         self.resume_reading = _do_nothing
 
     @classmethod
     def from_bytes(cls, content: bytes) -> "Body":
-        """Return a body that is whole from the start."""
+        """Return a body that is already complete."""
         body = cls()
         body.feed(content)
         body.end()
@@ -84,65 +87,65 @@
 
     @property
     def broken(self) -> bool:
-        """Whether the rest of the body will not come."""
+        """Whether the rest of the body will not arrive."""
         return self._error is not None
 
     @property
-    def overfull(self) -> bool:
-        """Whether the sender should be held up."""
+    def above_high_water(self) -> bool:
+        """Whether reading from the sender should pause."""
         return not self.keep and sum(map(len, self._chunks)) > HIGH_WATER_BYTES
 
     def list_kept(self) -> tuple[bytes, ...]:
-        """Return what has arrived and is kept, in order."""
+        """Return the kept bytes, as received."""
         return tuple(self._chunks)
 
     def feed(self, data: bytes) -> None:
-        """Take over bytes that arrived."""
+        """Append received bytes."""
         self.size += len(data)
         self._chunks.append(data)
-        self._more.set()
+        self._changed.set()
 
     def end(self) -> None:
-        """Note that the body is whole."""
+        """Mark the body as complete."""
         self._ended = True
-        self._more.set()
+        self._changed.set()
 
     def fail(self, error: Exception) -> None:
-        """Note that the rest of the body will not come."""
+        """Mark the body as broken, unless it has ended."""
         if not self._ended:
             self._error = error
             self._ended = True
-            self._more.set()
+            self._changed.set()
 
     async def wait_for_end(self) -> None:
-        """Wait until the body is whole, or until it is known that its rest will not come."""
+        """Wait until the body is complete or broken."""
         while not self._ended:
-            self._more.clear()
-            await self._more.wait()
+            self._changed.clear()
+            await self._changed.wait()
 
     async def chunks(self, byte_seconds: float | None = None) -> AsyncIterator[bytes]:
-        """Yield the body from its start (its rest, without `keep`); raise what broke it.
+        """Yield the body from its start, or its unread rest without `keep`; raise its error.
 
-        Where `byte_seconds` are given, so many without a byte break it.
+        With `byte_seconds`, raise UpstreamSilentError after that time without a byte.
         """
-        place = 0
+        index = 0
         while True:
-            while place - self._dropped < len(self._chunks):
+            while index - self._dropped < len(self._chunks):
                 if self.keep:
-                    yield self._chunks[place]
-                    place += 1
+                    yield self._chunks[index]
+                    index += 1
                 else:
                     data = self._chunks.popleft()
                     self._dropped += 1
-                    place = self._dropped
+                    index = self._dropped
                     self.resume_reading()
                     yield data
             if self._ended:
                 break
-            self._more.clear()
+            self._changed.clear()
             if byte_seconds is None:
-                # Kept off a time-out that bounds nothing: 1.4 us of each wait against 0.1 us.
-                await self._more.wait()
+                # An `asyncio.timeout` of None would cost much more than the wait itself.
+                await self._changed.wait()
             else:
                 await self._wait_for_more(byte_seconds)
         if self._error is not None:
@@ -151,22 +154,22 @@
     async def _wait_for_more(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
-                await self._more.wait()
+                await self._changed.wait()
         except TimeoutError:
-            message = f"no byte for {seconds:g} s after {self.size} of a body"
+            message = f"no byte for {seconds:g} s after {self.size} bytes of a body"
             raise UpstreamSilentError(message) from None
 
     async def read_whole(self, limit: int, byte_seconds: float | None = None) -> bytes:
-        """Return the whole body; raise UpstreamBrokenError where it is over the limit.
+        """Return the complete body; raise UpstreamBrokenError if it exceeds `limit` bytes.
 
-        Where `byte_seconds` are given, so many without a byte break it too.
+        With `byte_seconds`, raise UpstreamSilentError after that time without a byte.
         """
         parts = []
         size = 0
         async for chunk in self.chunks(byte_seconds):
             size += len(chunk)
             if size > limit:
-                raise UpstreamBrokenError(f"an answer is over {limit} bytes", sent=True)
+                raise UpstreamBrokenError(f"response body of over {limit} bytes", sent=True)
             parts.append(chunk)
         return b"".join(parts)
 
@@ -193,20 +196,20 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def write_answer_head(
-    status: int, headers: Sequence[Header], framing: Framing, length: int, keep: bool
+def write_response_head(
+    status: int, headers: Sequence[Header], framing: Framing, length: int, keep_alive: bool
 ) -> bytes:
-    """Return the bytes of an answer's head."""
+    """Return the bytes of a response's head."""
     lines = [f"HTTP/1.1 {status} {name_status(status)}".encode()]
     lines += [name + b": " + value for name, value in headers]
     lines += _write_framing(framing, length)
-    if not keep:
+    if not keep_alive:
         lines.append(b"Connection: close")
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def write_chunk(data: bytes) -> bytes:
-    """Return data as one chunk."""
+    """Return data encoded as one chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -214,7 +217,7 @@
 
 
 def name_status(status: int) -> str:
-    """Return the standard phrase of a status."""
+    """Return the standard reason phrase of a status."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to upstreams and to the store, lent for one exchange at a time."""
+"""A pool of connections to upstreams and to the store, each in use for one exchange at a time."""
 
 import asyncio
 import contextlib
@@ -13,31 +13,31 @@
 from swifttrestle.internal.transport.messages import ResponseHead
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest, UpstreamConnection
 
-# Seconds to connect. A host in the same region answers in milliseconds; one lost opening
-# packet is sent again after a second, and waiting for that costs more than another upstream.
+# Connection timeout. Hosts of the same region connect within milliseconds, and another upstream is
+# faster than a SYN retransmission after one second.
 CONNECT_SECONDS = 0.3
-# A connection may fall silent without a word while new ones work. The kernel probes one on which
-# nothing was heard for this many seconds, again after as many, and breaks it off after so many
-# probes without an answer: sooner than the three seconds after which a host counts as sound.
-PROBE_SECONDS = 1
-PROBES = 2
-# Milliseconds that sent data may stay unacknowledged before the kernel breaks the connection.
+# TCP keepalive: idle time before the first probe and between probes, and the number of probes
+# without a response after which the kernel breaks the connection. This ends a silent connection
+# within three seconds, the time after which a host must work as usual again.
+KEEPALIVE_SECONDS = 1
+KEEPALIVE_PROBES = 2
+# Time for which sent data may stay unacknowledged before the kernel breaks the connection.
 UNACKNOWLEDGED_MS = 3000
-# Seconds between two times at which all idle connections are closed for one that is silent: its
-# upstream alone may be at fault, and new connections cost.
-DROP_SECONDS = 2.0
-# A kept connection is dropped this long before its upstream would close it, in seconds, so
-# that no request crosses the close.
+# Minimum time between two closures of all idle connections because one was silent: the fault may
+# be that of a single upstream.
+DROP_INTERVAL_SECONDS = 2.0
+# An idle connection is dropped this long before its upstream would close it, so that no request
+# races with the close.
 IDLE_MARGIN_SECONDS = 0.7
-# Idle time after which a connection is not reused where its upstream names no time, seconds.
+# Idle time after which a connection is not reused, for upstreams that send no Keep-Alive timeout.
 DEFAULT_IDLE_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
 class CallTimeouts:
-    """How long a call may take: seconds to its answer's head, and between bytes of its body.
+    """Timeouts of a call in seconds: until the response's head, and between bytes of its body.
 
-    None is no bound: for callers that bound the whole call themselves.
+    None is no timeout, for code that limits the whole call itself.
     """
 
     head: float | None = None
@@ -48,24 +48,24 @@
 
 
 class ConnectionPool:
-    """Kept connections to each instance of an upstream; newest first, so that few stay warm."""
+    """Connections to upstream instances; reuses the latest one, so that surplus ones expire."""
 
     def __init__(self, unacknowledged_ms: int = UNACKNOWLEDGED_MS) -> None:
-        """Start empty; break connections whose data stays unacknowledged for so long."""
+        """Break connections whose data stays unacknowledged for so long."""
         self._unacknowledged_ms = unacknowledged_ms
         self._idle: dict[str, deque[UpstreamConnection]] = defaultdict(deque)
-        self._lent: dict[str, set[UpstreamConnection]] = defaultdict(set)
-        self._drop_at = float("-inf")
+        self._in_use: dict[str, set[UpstreamConnection]] = defaultdict(set)
+        self._next_drop_at = float("-inf")
         self.opened = 0
-        # Called with the instance, the head of each of its answers and the loop's time at which
-        # the request was sent, before anybody else gets the answer.
+        # Called with the instance, the head of each of its responses and the event loop's time at
+        # which the request was sent, before the response is processed.
         self.on_answer: Callable[[str, ResponseHead, float], None] = do_nothing
 
     @contextlib.asynccontextmanager
     async def acquire(self, instance: str, address: Address) -> AsyncIterator[UpstreamConnection]:
-        """Lend a connection; it is kept only where `mark_reusable` says so before the end."""
+        """Yield a connection, which is kept afterwards only if `mark_reusable` was called."""
         connection = self._take_idle(instance) or await self._connect(address)
-        self._lent[instance].add(connection)
+        self._in_use[instance].add(connection)
         connection.on_head = functools.partial(self.on_answer, instance)
         try:
             yield connection
@@ -75,14 +75,14 @@
                 self._drop_idle()
             raise
         finally:
-            self._take_back(instance, connection)
+            self._discard_in_use(instance, connection)
             if connection.usable and connection.idle_until:
                 self._idle[instance].append(connection)
             else:
                 connection.close()
 
     async def mark_reusable(self, connection: UpstreamConnection, head: ResponseHead) -> None:
-        """Mark a connection whose answer has been read whole for reuse."""
+        """Mark a connection for reuse after its response has been read completely."""
         if not await connection.finish(patience=0.0 if head.closes else 0.5):
             connection.close()
             return
@@ -92,38 +92,38 @@
         connection.idle_until = now + keep if keep > 0 else 0.0
 
     def forget(self, instance: str) -> None:
-        """Close all idle connections to an instance: it is gone, or they are silent."""
+        """Close all idle connections to an instance."""
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
     def abort_all(self, instance: str) -> None:
-        """Break all connections to an instance that has ended: no answer comes there any more."""
+        """Close all connections to an instance that has ended, including those in use."""
         self.forget(instance)
-        for connection in list(self._lent.get(instance, ())):
+        for connection in list(self._in_use.get(instance, ())):
             connection.close()
 
     async def probe(self, instance: str, address: Address) -> None:
-        """Open a connection to an instance, and keep it for the next request.
+        """Open a connection to an instance and keep it for the next request.
 
-        Raises UpstreamUnreachedError, whose `refused` says that nobody listens there.
+        Raises UpstreamUnreachedError, whose `refused` says that the connection was refused.
         """
         connection = await self._connect(address)
         now = asyncio.get_running_loop().time()
         connection.idle_until = now + DEFAULT_IDLE_SECONDS - IDLE_MARGIN_SECONDS
         self._idle[instance].append(connection)
 
-    def _take_back(self, instance: str, connection: UpstreamConnection) -> None:
-        lent = self._lent[instance]
-        lent.discard(connection)
-        if not lent:
-            del self._lent[instance]
+    def _discard_in_use(self, instance: str, connection: UpstreamConnection) -> None:
+        in_use = self._in_use[instance]
+        in_use.discard(connection)
+        if not in_use:
+            del self._in_use[instance]
 
     def _drop_idle(self) -> None:
-        """Close all idle connections: they may have fallen silent with one that was in use."""
+        """Close all idle connections, as one in use was silent; at most once per interval."""
         now = asyncio.get_running_loop().time()
-        if now < self._drop_at:
+        if now < self._next_drop_at:
             return
-        self._drop_at = now + DROP_SECONDS
+        self._next_drop_at = now + DROP_INTERVAL_SECONDS
         for instance in list(self._idle):
             self.forget(instance)
 
@@ -145,22 +145,22 @@
                 transport, protocol = await loop.create_connection(UpstreamConnection, *address)
         except (OSError, TimeoutError) as error:
             raise UpstreamUnreachedError(
-                f"{address[0]}:{address[1]} cannot be connected to: {error!r}",
+                f"cannot connect to {address[0]}:{address[1]}: {error!r}",
                 refused=isinstance(error, ConnectionRefusedError),
             ) from None
         self.opened += 1
         sock = transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
-            _bound_silence(sock, self._unacknowledged_ms)
+            _set_tcp_timeouts(sock, self._unacknowledged_ms)
         return protocol
 
 
-def _bound_silence(sock: socket.socket, unacknowledged_ms: int) -> None:
-    """Have the kernel break a connection whose other end is not heard any more."""
+def _set_tcp_timeouts(sock: socket.socket, unacknowledged_ms: int) -> None:
+    """Have the kernel break a connection whose other end no longer responds."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
 
 
@@ -172,9 +172,9 @@
     limit: int,
     timeouts: CallTimeouts = UNBOUNDED,
 ) -> tuple[ResponseHead, bytes]:
-    """Send one request and return the whole answer.
+    """Send one request and return the complete response.
 
-    Raises UpstreamBrokenError, and TimeoutError where no head comes within `timeouts`.
+    Raises UpstreamBrokenError, and TimeoutError if no head arrives in time.
     """
     async with pool.acquire(instance, address) as connection:
         async with asyncio.timeout(timeouts.head):
--- a/src/swifttrestle/internal/transport/pump.py
+++ b/src/swifttrestle/internal/transport/pump.py
@@ -1,9 +1,8 @@
-"""The relay pump: one thread that carries many open streams, one task a stream.
+"""The relay of open streams: one thread with one generator task per stream.
 
-A task is a generator that reads and writes its own sockets straight down and yields what it
-waits for. Sockets stay registered for reading, so a token costs one wake-up shared with all
-other tokens that have arrived, one read and one write, and no switch of threads. The ways
-weighed and their figures are in docs/design/relay.md.
+A task reads and writes its own sockets and yields what it waits for. Sockets stay registered for
+reading, so that a token costs one read, one write and a wake-up shared with other tokens, but no
+thread switch; see docs/design/relay.md.
 """
 
 import os
@@ -20,11 +19,12 @@
 from swifttrestle.errors import CallerGoneError, UpstreamBrokenError
 from swifttrestle.internal.clock import read_boottime_seconds
 
+# Interval of the check for stalled streams.
 SWEEP_SECONDS = 0.25
 
 
 class WaitFor(Enum):
-    """What a task waits for."""
+    """The event for which a task waits."""
 
     DATA = "upstream data"
     WRITABLE = "room towards the caller"
@@ -35,39 +35,38 @@
 
 
 @dataclass(eq=False)
-class _Line:
-    """One stream in the pump."""
+class _Stream:
+    """One open stream; `progress_at` is the time of its last progress."""
 
     upstream: socket.socket
     caller: socket.socket
     task: Task
     finish: Finish
     stall_seconds: float
-    want: WaitFor = WaitFor.DATA
-    moved_at: float = field(default_factory=read_boottime_seconds)
+    waiting_for: WaitFor = WaitFor.DATA
+    progress_at: float = field(default_factory=read_boottime_seconds)
     done: bool = False
 
 
 class Pump:
-    """Carries streams until their tasks end; each end is told to the stream's `finish`."""
+    """Relays streams until their tasks end, and then calls each stream's `finish`."""
 
     def __init__(self) -> None:
-        """Prepare; `start` begins."""
         self._selector = selectors.DefaultSelector()
         self._wake_read, self._wake_write = os.pipe()
         os.set_blocking(self._wake_read, False)
         self._selector.register(self._wake_read, selectors.EVENT_READ, None)
-        self._incoming: deque[_Line] = deque()
-        self._lines: set[_Line] = set()
+        self._incoming: deque[_Stream] = deque()
+        self._streams: set[_Stream] = set()
 
     def start(self) -> None:
-        """Carry streams in a thread of its own."""
+        """Start the relay thread."""
         threading.Thread(target=self._run, name="pump", daemon=True).start()
 
     @property
     def open_streams(self) -> int:
-        """Streams carried now."""
-        return len(self._lines) + len(self._incoming)
+        """The number of open streams."""
+        return len(self._streams) + len(self._incoming)
 
     def add(
         self,
@@ -77,10 +76,10 @@
         finish: Finish,
         stall_seconds: float,
     ) -> None:
-        """Carry one stream; safe from any thread. The sockets are set to not block."""
+        """Add a stream, from any thread, and make its sockets non-blocking."""
         upstream.setblocking(False)
         caller.setblocking(False)
-        self._incoming.append(_Line(upstream, caller, task, finish, stall_seconds))
+        self._incoming.append(_Stream(upstream, caller, task, finish, stall_seconds))
         os.write(self._wake_write, b"\0")
 
     def _run(self) -> None:
@@ -90,95 +89,104 @@
             now = read_boottime_seconds()
             for key, mask in events:
                 if key.data is None:
-                    self._take_incoming()
+                    self._add_incoming()
                 else:
                     self._serve(key.data, key.fileobj, mask, now)
             if now >= next_sweep:
                 next_sweep = now + SWEEP_SECONDS
                 self._sweep(now)
 
-    def _take_incoming(self) -> None:
+    def _add_incoming(self) -> None:
         os.read(self._wake_read, 65536)
         while self._incoming:
-            line = self._incoming.popleft()
-            self._lines.add(line)
+            stream = self._incoming.popleft()
+            self._streams.add(stream)
             try:
-                self._selector.register(line.upstream, selectors.EVENT_READ, line)
-                self._selector.register(line.caller, selectors.EVENT_READ, line)
+                self._selector.register(stream.upstream, selectors.EVENT_READ, stream)
+                self._selector.register(stream.caller, selectors.EVENT_READ, stream)
             except (OSError, ValueError, KeyError) as error:
-                self._end(line, UpstreamBrokenError(f"cannot be carried: {error!r}", sent=True))
+                self._end(stream, UpstreamBrokenError(f"cannot relay: {error!r}", sent=True))
                 continue
-            self._step(line)
+            self._step(stream)
 
-    def _serve(self, line: _Line, sock: object, mask: int, now: float) -> None:
-        if line.done:
+    def _serve(self, stream: _Stream, sock: object, mask: int, now: float) -> None:
+        if stream.done:
             return
-        if sock is line.caller and mask & selectors.EVENT_READ and _is_closed(line.caller):
-            self._throw(line, CallerGoneError("the caller closed its connection"))
+        if sock is stream.caller and mask & selectors.EVENT_READ and _is_closed(stream.caller):
+            self._throw(stream, CallerGoneError("the caller closed its connection"))
             return
-        ready = sock is line.upstream if line.want is WaitFor.DATA else mask & selectors.EVENT_WRITE
+        ready = (
+            sock is stream.upstream
+            if stream.waiting_for is WaitFor.DATA
+            else mask & selectors.EVENT_WRITE
+        )
         if ready:
-            line.moved_at = now
-            self._step(line)
+            stream.progress_at = now
+            self._step(stream)
 
-    def _step(self, line: _Line) -> None:
+    def _step(self, stream: _Stream) -> None:
         try:
-            want = next(line.task)
+            waiting_for = next(stream.task)
         except StopIteration:
-            self._end(line, None)
+            self._end(stream, None)
             return
         except Exception as error:
-            self._end(line, error)
+            self._end(stream, error)
             return
-        if want is not line.want:
-            self._change_want(line, want)
-
-    def _change_want(self, line: _Line, want: WaitFor) -> None:
-        line.want = want
-        if want is WaitFor.WRITABLE:
-            # Reading from the engine waits until the caller has taken what there is.
-            self._selector.unregister(line.upstream)
-            self._selector.modify(line.caller, selectors.EVENT_READ | selectors.EVENT_WRITE, line)
+        if waiting_for is not stream.waiting_for:
+            self._change_waiting(stream, waiting_for)
+
+    def _change_waiting(self, stream: _Stream, waiting_for: WaitFor) -> None:
+        stream.waiting_for = waiting_for
+        if waiting_for is WaitFor.WRITABLE:
+            # Do not read from the engine until the caller has received the pending bytes.
+            self._selector.unregister(stream.upstream)
+            self._selector.modify(
+                stream.caller, selectors.EVENT_READ | selectors.EVENT_WRITE, stream
+            )
         else:
-            self._selector.modify(line.caller, selectors.EVENT_READ, line)
-            self._selector.register(line.upstream, selectors.EVENT_READ, line)
+            self._selector.modify(stream.caller, selectors.EVENT_READ, stream)
+            self._selector.register(stream.upstream, selectors.EVENT_READ, stream)
 
     def _sweep(self, now: float) -> None:
-        for line in list(self._lines):
-            if now - line.moved_at < line.stall_seconds:
+        for stream in list(self._streams):
+            if now - stream.progress_at < stream.stall_seconds:
                 continue
-            if line.want is WaitFor.WRITABLE:
-                self._throw(line, CallerGoneError("the caller takes nothing"))
+            if stream.waiting_for is WaitFor.WRITABLE:
+                self._throw(stream, CallerGoneError(f"no progress for {stream.stall_seconds:g} s"))
             else:
-                self._throw(line, UpstreamBrokenError("no token for too long", sent=True))
+                self._throw(
+                    stream,
+                    UpstreamBrokenError(f"no token for {stream.stall_seconds:g} s", sent=True),
+                )
 
-    def _throw(self, line: _Line, error: Exception) -> None:
+    def _throw(self, stream: _Stream, error: Exception) -> None:
         try:
-            line.task.throw(error)
+            stream.task.throw(error)
         except StopIteration:
-            self._end(line, None)
+            self._end(stream, None)
         except Exception as raised:
-            self._end(line, raised)
+            self._end(stream, raised)
         else:
-            self._end(line, error)
+            self._end(stream, error)
 
-    def _end(self, line: _Line, error: BaseException | None) -> None:
-        line.done = True
-        self._lines.discard(line)
-        for sock in (line.upstream, line.caller):
+    def _end(self, stream: _Stream, error: BaseException | None) -> None:
+        stream.done = True
+        self._streams.discard(stream)
+        for sock in (stream.upstream, stream.caller):
             try:
                 self._selector.unregister(sock)
             except (KeyError, ValueError):
                 continue
-        line.upstream.close()
+        stream.upstream.close()
         try:
-            line.finish(error)
+            stream.finish(error)
         except Exception:
-            logger.exception("the end of a stream failed")
+            logger.exception("finish callback of a stream failed")
 
 
 def _is_closed(sock: socket.socket) -> bool:
-    """Return whether the caller has hung up; what it sends beyond its request is dropped."""
+    """Return whether the caller has disconnected; further bytes from it are discarded."""
     try:
         return sock.recv(4096) == b""
     except (BlockingIOError, InterruptedError):
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: one exchange at a time, strict answers, kept for reuse."""
+"""Connections to upstreams: reusable, one exchange at a time, strict parsing of responses."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -21,7 +21,7 @@
 
 Address = tuple[str, int]
 
-# Seconds without a byte of an answer after which a kept connection counts as silent.
+# Time without a byte of a response after which a reused connection counts as silent.
 SILENT_SECONDS = 0.4
 
 
@@ -38,15 +38,14 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection; `exchange` sends a request and returns the answer's head and body."""
+    """One connection; `exchange` sends a request and returns the response's head and body."""
 
     def __init__(self) -> None:
-        """Start unconnected."""
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[Header] = []
         self._head: asyncio.Future[ResponseHead] | None = None
-        self._answer: ResponseHead | None = None
+        self._response: ResponseHead | None = None
         self._body: Body | None = None
         self._sender: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
@@ -57,33 +56,33 @@
         self.sent = False
         self._sent_at = 0.0
         self._exchanges = 0
-        self._heard = False
+        self._received = False
         self.reusable = True
         self.idle_until = 0.0
-        # Called with the head of each answer and the loop's time at which its request was sent.
+        # Called with each response head and the event loop's time at which its request was sent.
         self.on_head: Callable[[ResponseHead, float], None] = do_nothing
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport over."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes; any that no request waits for end the connection."""
-        self._heard = True
+        """Parse received bytes; close the connection if no request awaits them."""
+        self._received = True
         if self._head is None and self._body is None:
-            self._fail(UpstreamBrokenError("bytes came that no request waits for", sent=True))
+            self._fail(UpstreamBrokenError("bytes received without a request", sent=True))
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(UpstreamBrokenError(f"bytes are no answer: {error}", sent=True))
+            self._fail(UpstreamBrokenError(f"response malformed: {error}", sent=True))
 
     def eof_received(self) -> bool:
-        """End an answer that has no length; anything else is broken off."""
-        if self._answer is not None and self._answer.framing is Framing.CLOSE and self._body:
+        """Complete a response that ends with the connection; any other one fails."""
+        if self._response is not None and self._response.framing is Framing.CLOSE and self._body:
             self._body.end()
             self.reusable = False
             return False
@@ -91,23 +90,23 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail what still waits."""
-        self._fail(UpstreamBrokenError(f"the connection is lost: {error}", sent=self.sent))
+        """Fail the exchange in progress."""
+        self._fail(UpstreamBrokenError(f"connection lost: {error}", sent=self.sent))
 
     def pause_writing(self) -> None:
-        """Hold the sender of the request's body."""
+        """Pause sending of the request's body."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let the sender go on."""
+        """Resume sending of the request's body."""
         self._writable.set()
 
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Start a new head; a second answer to one request is one too many."""
-        if self._answer is not None:
-            self._fail(UpstreamBrokenError("bytes follow a whole answer", sent=True))
+        """Start a new head; fail on a second response to the same request."""
+        if self._response is not None:
+            self._fail(UpstreamBrokenError("bytes after a complete response", sent=True))
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -115,35 +114,35 @@
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hand the head over, unless it is informational."""
+        """Deliver the head, unless the response is informational."""
         status = self._parser.get_status_code()
         self._informational = status < 200
-        if self._informational or self._answer is not None:
+        if self._informational or self._response is not None:
             return
-        self._answer = self._build_head(status)
+        self._response = self._build_head(status)
         self._body = Body(keep=False)
         self._body.resume_reading = self._resume_reading
-        self.on_head(self._answer, self._sent_at)
+        self.on_head(self._response, self._sent_at)
         if self._head is not None and not self._head.done():
-            self._head.set_result(self._answer)
-        if self._answer.framing is Framing.NONE:
-            self._finish_answer()
+            self._head.set_result(self._response)
+        if self._response.framing is Framing.NONE:
+            self._finish_response()
 
     def on_body(self, data: bytes) -> None:
-        """Pass bytes of the answer's body on."""
+        """Append bytes to the response's body."""
         if self._body is None or self._body.complete:
-            # Bytes of a second answer, parsed from the same read as the first: nobody's.
+            # Bytes of a second response, received together with the first one, are dropped.
             return
         self._body.feed(data)
-        if self._body.overfull and self._transport is not None:
+        if self._body.above_high_water and self._transport is not None:
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole."""
+        """Complete the response."""
         if self._informational:
             return
-        if self._answer is not None and self._answer.framing is not Framing.CLOSE:
-            self._finish_answer()
+        if self._response is not None and self._response.framing is not Framing.CLOSE:
+            self._finish_response()
 
     # Called by the request's task.
 
@@ -154,20 +153,20 @@
         return alive and self.reusable and self._broken is None
 
     async def exchange(self, request: OutgoingRequest) -> tuple[ResponseHead, Body]:
-        """Send a request; return the answer's head, and its body as it arrives.
+        """Send a request; return the response's head, and its body as it arrives.
 
-        Raises UpstreamBrokenError, whose `sent` says whether a byte may have gone out.
+        Raises UpstreamBrokenError, whose `sent` says whether any byte may have been sent.
         """
         if not self.usable:
-            raise UpstreamBrokenError("the connection is closed", sent=False)
-        self._answer, self._body = None, None
+            raise UpstreamBrokenError("connection closed", sent=False)
+        self._response, self._body = None, None
         self._method = request.method
         self._head = asyncio.get_running_loop().create_future()
         assert self._transport is not None
         self.sent = True
         self._sent_at = asyncio.get_running_loop().time()
         self._exchanges += 1
-        self._heard = False
+        self._received = False
         self._transport.write(
             write_request_head(
                 request.method, request.target, request.headers, request.framing, request.length
@@ -181,31 +180,31 @@
         return head, self._body
 
     async def finish(self, patience: float) -> bool:
-        """End a whole exchange; return whether the connection may be kept.
+        """Finish an exchange; return whether the connection may be reused.
 
-        An upstream may answer before it has read the whole request. The rest is then still
-        sent for `patience` seconds; after that the connection is closed, so that no later
-        request can be taken for that rest.
+        An upstream may respond before it has read the whole request. The rest is then sent for up
+        to `patience` seconds; after that the connection is not reused, because the upstream would
+        take the next request for that rest.
         """
         if self._sender is not None:
-            # `asyncio.wait_for` would swallow a cancellation that meets the end of the sending.
+            # `asyncio.wait_for` would swallow a cancellation that coincides with the sender's end.
             if not self._sender.done():
                 await asyncio.wait((self._sender,), timeout=patience)
             if not _has_ended(self._sender):
                 self._sender.cancel()
                 self.reusable = False
             self._sender = None
-        whole = self._body is not None and self._body.complete
-        self._answer, self._body, self._head = None, None, None
-        return whole and self.usable
+        complete = self._body is not None and self._body.complete
+        self._response, self._body, self._head = None, None, None
+        return complete and self.usable
 
     def is_silent(self) -> bool:
-        """Return whether this connection was kept, and nothing has come since its last request."""
+        """Return whether this connection was reused and nothing was received since then."""
         waited = asyncio.get_running_loop().time() - self._sent_at
-        return self._exchanges > 1 and not self._heard and waited >= SILENT_SECONDS
+        return self._exchanges > 1 and not self._received and waited >= SILENT_SECONDS
 
     def close(self) -> None:
-        """Close at once; the upstream sees that nobody waits any more."""
+        """Close at once, which tells the upstream that the request is abandoned."""
         self.reusable = False
         if self._sender is not None:
             self._sender.cancel()
@@ -225,10 +224,10 @@
             if chunked:
                 self._transport.write(LAST_CHUNK)
         except UpstreamBrokenError:
-            # The caller broke its request off; what the upstream has of it must not look whole.
+            # The request's body is broken; the upstream must not take it for complete.
             self.close()
 
-    def _finish_answer(self) -> None:
+    def _finish_response(self) -> None:
         if self._body is not None:
             self._body.end()
 
@@ -240,7 +239,9 @@
         closes = closes or not self._parser.should_keep_alive()
         if closes:
             self.reusable = False
-        return ResponseHead(status, headers, framing, length, closes, _read_keep_time(headers))
+        return ResponseHead(
+            status, headers, framing, length, closes, _read_keep_alive_seconds(headers)
+        )
 
     def _find_framing(self, status: int, headers: Sequence[Header]) -> tuple[Framing, int]:
         if status in (204, 304) or self._method == b"HEAD":
@@ -270,7 +271,7 @@
             self._transport.abort()
 
 
-def _read_keep_time(headers: Sequence[Header]) -> float | None:
+def _read_keep_alive_seconds(headers: Sequence[Header]) -> float | None:
     for part in find_header(headers, b"keep-alive").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
@@ -279,7 +280,7 @@
 
 
 def _has_ended(sender: "asyncio.Future[None]") -> bool:
-    """Return whether a sending has come to its own end; its error is seen elsewhere."""
+    """Return whether a sender has ended on its own; its error is handled elsewhere."""
     if not sender.done() or sender.cancelled():
         return False
     sender.exception()
