--- a/tests/cover/test_backpressure.py
+++ b/tests/cover/test_backpressure.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves in answers: how it is read, and what is kept of it."""
+"""Backpressure headers of upstreams, and the datagrams by which hosts share rate limits."""
 
 import contextlib
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "said"),
+    ("status", "headers", "expected"),
     [
         (200, [], Backpressure()),
         (200, [(b"Content-Type", b"x")], Backpressure()),
@@ -62,18 +62,18 @@
         ),
     ],
 )
-def test_each_form_of_a_word_is_read_or_named_as_odd(status, headers, said):
-    assert read_backpressure(status, headers) == said
+def test_each_form_of_a_header_is_parsed_or_reported_as_unreadable(status, headers, expected):
+    assert read_backpressure(status, headers) == expected
 
 
 @given(
     st.integers(100, 599),
     st.lists(st.tuples(st.sampled_from([LIMIT, LEAVING, REST, b"x"]), st.binary(max_size=60))),
 )
-def test_no_header_whatever_it_holds_raises_an_error(status, headers):
-    said = read_backpressure(status, headers)
-    assert said.rate is None or 0 <= said.rate < float("inf")
-    assert said.rest is None or 0 <= said.rest < float("inf")
+def test_no_header_value_raises_an_error(status, headers):
+    found = read_backpressure(status, headers)
+    assert found.rate is None or 0 <= found.rate < float("inf")
+    assert found.rest is None or 0 <= found.rest < float("inf")
 
 
 @pytest.mark.parametrize(
@@ -88,12 +88,12 @@
         TrialRequest(7, "00aa-11bb"),
     ],
 )
-def test_messages_on_limits_pass_between_hosts(message):
+def test_permit_messages_are_unchanged_by_encoding_and_decoding(message):
     assert unpack_message(pack_message(message, now=100.0), now=100.0) == message
 
 
 @given(st.binary(max_size=60))
-def test_a_spoiled_message_on_limits_is_a_frame_error(data):
+def test_corrupt_permit_datagrams_raise_only_frame_errors(data):
     with contextlib.suppress(FrameError):
         unpack_message(data, now=100.0)
 
@@ -113,7 +113,7 @@
         (3, 0, "e1", True, 4.5),
     ],
 )
-def test_a_message_on_limits_with_a_wrong_field_is_a_frame_error(values):
+def test_a_permit_datagram_with_a_wrong_field_raises_a_frame_error(values):
     import msgpack
 
     with pytest.raises(FrameError):
--- a/tests/cover/test_cancellation.py
+++ b/tests/cover/test_cancellation.py
@@ -1,4 +1,4 @@
-"""A task that is cancelled ends, whatever it waits for."""
+"""Cancellation of tasks that wait for a connection."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from swifttrestle.internal.transport.upstream import UpstreamConnection
 
 
-def test_a_task_that_is_cancelled_as_its_request_has_been_sent_ends():
-    async def story():
+def test_a_cancellation_is_not_lost_when_the_sender_ends_at_the_same_time():
+    async def check():
         connection = UpstreamConnection()
         sender = asyncio.get_running_loop().create_future()
         connection._sender = sender
@@ -19,4 +19,4 @@
         with pytest.raises(asyncio.CancelledError):
             await task
 
-    asyncio.run(story())
+    asyncio.run(check())
--- a/tests/cover/test_copies.py
+++ b/tests/cover/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of configuration versions between hosts."""
+"""Encoding of configuration copies that hosts send each other."""
 
 import zlib
 
@@ -18,11 +18,11 @@
 )
 
 
-def test_a_copy_survives_its_bytes():
+def test_a_copy_is_unchanged_by_packing_and_unpacking():
     assert unpack_copy(pack_copy(COPY)) == COPY
 
 
-def test_a_large_version_crosses_a_link_in_a_tenth_of_its_bytes():
+def test_a_large_version_is_compressed_to_under_a_fifth_of_its_size():
     routes = [
         {"name": f"r-{n * 7919 % 99991:07x}", "host": "site.example", "pathPrefix": f"/{n:08x}/"}
         for n in range(4000)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("kept", [0, 1, 10, -1])
-def test_a_copy_that_was_cut_is_never_taken_for_whole(kept):
+def test_a_truncated_copy_is_refused(kept):
     with pytest.raises(FrameError):
         unpack_copy(pack_copy(COPY)[:kept])
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     "content", [b"no zlib", zlib.compress(b"no json"), zlib.compress(orjson.dumps(7))[:-3], 7, None]
 )
-def test_a_content_that_cannot_be_read_is_refused(content):
+def test_malformed_content_is_refused(content):
     with pytest.raises(FrameError):
         unpack_copy(msgpack.packb((1, content)))
 
@@ -55,7 +55,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=60))
-def test_any_bytes_are_read_or_refused(data):
+def test_any_bytes_are_unpacked_or_refused_with_a_frame_error(data):
     try:
         unpack_copy(data)
     except FrameError as error:
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -1,4 +1,4 @@
-"""The sums behind each promise with a time: all waits of a chain, from the constants themselves."""
+"""Worst-case delays of each promised time bound, summed from the constants in the code."""
 
 import re
 from pathlib import Path
@@ -21,180 +21,220 @@
 from swifttrestle.internal.transport import pool
 from swifttrestle.platform import store
 
-# Seconds that the slowest store takes to answer, and a datagram between two hosts with what the
-# host's loop has to do first.
-SLOW_STORE = 0.4
-DATAGRAM = 0.1
-# What the platform promises and from when: seconds in which a leaving instance gets no more work
-# and in which a version is in force, and for which store and path must have been in order. The
-# first of each pair binds fleets of up to 16 hosts, the second one larger fleets.
-LEAVING = {"small": 2.0, "large": 3.0}
-IN_FORCE = {"small": 2.0, "large": 3.0}
-STEADY = {"small": 3.0, "large": 4.0}
-# Seconds after a refusal that asks for rest in which requests may still be under way.
-UNDER_WAY = 0.5
-# A version of 4,249 routes, plain and as a copy between hosts, and the thinnest link, in bytes.
+# Longest response time of the store, and longest delay of a datagram between two hosts including
+# the receiver's event loop, in seconds.
+SLOW_STORE_SECONDS = 0.4
+DATAGRAM_SECONDS = 0.1
+# Promised bounds in seconds, for fleets of up to 16 hosts ("small") and larger ones: until a
+# leaving instance gets no more work, until a version is in force, and the time for which the store
+# and the network must have worked before.
+LEAVING_SECONDS = {"small": 2.0, "large": 3.0}
+IN_FORCE_SECONDS = {"small": 2.0, "large": 3.0}
+STEADY_SECONDS = {"small": 3.0, "large": 4.0}
+# Seconds for which requests may still arrive after a refusal with Retry-After.
+IN_FLIGHT_SECONDS = 0.5
+# A large version, uncompressed and as a copy between hosts, in bytes, and the slowest link in bytes
+# per second.
 VERSION_BYTES, COPY_BYTES = 1_060_000, 130_000
-THIN_LINK = 5e6 / 8
-# Share of a thin link that callers' requests use beside it.
+SLOW_LINK_BYTES_PER_SECOND = 5e6 / 8
+# Share of that link used by callers' requests.
 REQUESTS_SHARE = 0.3
 
-# Seconds after the third crash of a request from which on it may reach few upstreams more.
-KEPT_BACK = 3.0
+# Seconds after the third crash of a request until it is quarantined on nearly all hosts.
+QUARANTINE_SECONDS = 3.0
 
 FIRST_BACKOFF_SECONDS = find_max_backoff(discovery.FIRST_BACKOFF_SECONDS)
 MAX_BACKOFF_SECONDS = find_max_backoff(discovery.MAX_BACKOFF_SECONDS)
-LIST = pool.CONNECT_SECONDS + SLOW_STORE
-HEARTBEAT = gossip.HEARTBEAT_SECONDS * 1.1
-# A host notices that the store answers again: its last vain call, its pause, its next call.
-NOTICE = store.READ_SECONDS + MAX_BACKOFF_SECONDS + LIST
-HELD = removals.REREGISTRATION_SECONDS + removals.POLL_SECONDS
-# A host that lost a connection finds the upstream's address closed.
-CRASH_SEEN = crashes.LOOK_DELAY_SECONDS + DATAGRAM
-PUSH = quarantine_relay.PUSH_SECONDS
-# The bound of a key that was taken away, and the longest pauses of those who prove versions.
-KEYS_BOUND = 5.0
-KEYS = KEYS_BOUND - revocation.CLOCK_MARGIN
+LIST_SECONDS = pool.CONNECT_SECONDS + SLOW_STORE_SECONDS
+HEARTBEAT_SECONDS = gossip.HEARTBEAT_SECONDS * 1.1
+# A host notices a recovered store by: its last failed call, its backoff and its next call.
+NOTICE_SECONDS = store.READ_SECONDS + MAX_BACKOFF_SECONDS + LIST_SECONDS
+REMOVAL_HOLD_SECONDS = removals.REREGISTRATION_SECONDS + removals.POLL_SECONDS
+# A host that lost a connection finds that the upstream's address refuses connections.
+CRASH_DETECTION_SECONDS = crashes.LOOK_DELAY_SECONDS + DATAGRAM_SECONDS
+PUSH_SECONDS = quarantine_relay.PUSH_SECONDS
+# The bound until a revoked key is refused, and the longest intervals between confirmations.
+KEYS_BOUND_SECONDS = 5.0
+KEYS_SECONDS = KEYS_BOUND_SECONDS - revocation.CLOCK_MARGIN
 LONGEST_JITTER = 1 + freshness_monitor.JITTER_SHARE / 2
-READ_PAUSE = KEYS_BOUND * freshness_monitor.READ_INTERVAL_SHARE * LONGEST_JITTER
-ASK_PAUSE = KEYS_BOUND * freshness_monitor.QUERY_INTERVAL_SHARE * LONGEST_JITTER
-QUESTION = 2 * DATAGRAM
-WIDENED = KEYS_BOUND * freshness_monitor.WIDEN_AGE_SHARE
-SILENT_WATCH = discovery.WATCH_SECONDS + store.WATCH_MARGIN_SECONDS
+READ_INTERVAL_SECONDS = KEYS_BOUND_SECONDS * freshness_monitor.READ_INTERVAL_SHARE * LONGEST_JITTER
+QUERY_INTERVAL_SECONDS = (
+    KEYS_BOUND_SECONDS * freshness_monitor.QUERY_INTERVAL_SHARE * LONGEST_JITTER
+)
+QUERY_SECONDS = 2 * DATAGRAM_SECONDS
+WIDENED_SECONDS = KEYS_BOUND_SECONDS * freshness_monitor.WIDEN_AGE_SHARE
+SILENT_WATCH_SECONDS = discovery.WATCH_SECONDS + store.WATCH_MARGIN_SECONDS
 
 
-def read_over_thin_link(size):
-    return size / (THIN_LINK * (1 - REQUESTS_SHARE))
+def read_over_slow_link(size):
+    return size / (SLOW_LINK_BYTES_PER_SECOND * (1 - REQUESTS_SHARE))
 
 
-# What fails first, the seconds until all hosts act on the change, and the bound in seconds.
+# By promise and fault: seconds until all hosts act on a change, and the promised bound. The keys
+# are those of the table in docs/INVARIANTS.md.
 SUMS = {
-    "leaving: nothing": (discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE, LEAVING["small"]),
-    "leaving: the watch is reset": (FIRST_BACKOFF_SECONDS + LIST, LEAVING["small"]),
+    "leaving: nothing": (
+        discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE_SECONDS,
+        LEAVING_SECONDS["small"],
+    ),
+    "leaving: the watch is reset": (FIRST_BACKOFF_SECONDS + LIST_SECONDS, LEAVING_SECONDS["small"]),
     "leaving: connections fall silent": (
-        # The silent connections are dropped with the first of them, and one list follows.
-        SILENT_WATCH + FIRST_BACKOFF_SECONDS + SLOW_STORE,
-        STEADY["small"],
+        # All idle connections are dropped with the first silent one, and one list call follows.
+        SILENT_WATCH_SECONDS + FIRST_BACKOFF_SECONDS + SLOW_STORE_SECONDS,
+        STEADY_SECONDS["small"],
     ),
     "leaving: a host's path was cut, peers kept theirs": (
-        NOTICE + removals.POLL_SECONDS,
-        STEADY["small"],
+        NOTICE_SECONDS + removals.POLL_SECONDS,
+        STEADY_SECONDS["small"],
+    ),
+    "leaving: the store was away for all": (
+        NOTICE_SECONDS + REMOVAL_HOLD_SECONDS,
+        STEADY_SECONDS["small"] + LEAVING_SECONDS["small"],
     ),
-    "leaving: the store was away for all": (NOTICE + HELD, STEADY["small"] + LEAVING["small"]),
     "leaving: the store has forgotten its history": (
-        discovery.MIN_CALL_INTERVAL_SECONDS / 2 + LIST,
-        LEAVING["small"],
+        discovery.MIN_CALL_INTERVAL_SECONDS / 2 + LIST_SECONDS,
+        LEAVING_SECONDS["small"],
+    ),
+    "leaving: the store came back from a copy": (
+        FIRST_BACKOFF_SECONDS + LIST_SECONDS,
+        LEAVING_SECONDS["small"],
     ),
-    "leaving: the store came back from a copy": (FIRST_BACKOFF_SECONDS + LIST, LEAVING["small"]),
     "leaving: the store came back from a copy, and connections were kept": (
-        # The watch from before ends without a word.
-        discovery.WATCH_SECONDS + 2 * SLOW_STORE,
-        STEADY["small"],
+        # The earlier watch ends without an event.
+        discovery.WATCH_SECONDS + 2 * SLOW_STORE_SECONDS,
+        STEADY_SECONDS["small"],
     ),
     "leaving, by a teller: nothing": (
-        discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE + DATAGRAM,
-        LEAVING["large"],
+        discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE_SECONDS + DATAGRAM_SECONDS,
+        LEAVING_SECONDS["large"],
     ),
     "leaving, by a teller: its datagram is lost": (
-        # The next one repeats it.
-        2 * (discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE) + DATAGRAM,
-        LEAVING["large"],
+        # The next datagram repeats its changes.
+        2 * (discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE_SECONDS) + DATAGRAM_SECONDS,
+        LEAVING_SECONDS["large"],
     ),
     "leaving, by a teller: both are gone": (
-        discovery.RELAY_TIMEOUT_SECONDS + LIST + DATAGRAM,
-        LEAVING["large"],
+        discovery.RELAY_TIMEOUT_SECONDS + LIST_SECONDS + DATAGRAM_SECONDS,
+        LEAVING_SECONDS["large"],
     ),
     "leaving, by a teller: connections fall silent": (
         discovery.MIN_CALL_INTERVAL_SECONDS
         + discovery.RELAYING_WATCH_SECONDS
         + store.WATCH_MARGIN_SECONDS
         + FIRST_BACKOFF_SECONDS
-        + SLOW_STORE
-        + DATAGRAM,
-        STEADY["large"],
+        + SLOW_STORE_SECONDS
+        + DATAGRAM_SECONDS,
+        STEADY_SECONDS["large"],
     ),
     "leaving, by a teller: the store was away for all": (
-        NOTICE + HELD + DATAGRAM,
-        STEADY["large"] + LEAVING["large"],
+        NOTICE_SECONDS + REMOVAL_HOLD_SECONDS + DATAGRAM_SECONDS,
+        STEADY_SECONDS["large"] + LEAVING_SECONDS["large"],
     ),
     "leaving, by a teller: the store came back from a copy": (
-        FIRST_BACKOFF_SECONDS + LIST + DATAGRAM + discovery.RESTORE_SPREAD_SECONDS + LIST,
-        LEAVING["large"],
+        FIRST_BACKOFF_SECONDS
+        + LIST_SECONDS
+        + DATAGRAM_SECONDS
+        + discovery.RESTORE_SPREAD_SECONDS
+        + LIST_SECONDS,
+        LEAVING_SECONDS["large"],
     ),
     "leaving, by a teller: the same, and connections were kept": (
         discovery.MIN_CALL_INTERVAL_SECONDS
-        + 2 * SLOW_STORE
-        + DATAGRAM
+        + 2 * SLOW_STORE_SECONDS
+        + DATAGRAM_SECONDS
         + discovery.RESTORE_SPREAD_SECONDS
-        + LIST,
-        LEAVING["large"],
+        + LIST_SECONDS,
+        LEAVING_SECONDS["large"],
+    ),
+    "in force: the store came back from a copy": (
+        FIRST_BACKOFF_SECONDS + LIST_SECONDS,
+        IN_FORCE_SECONDS["small"],
     ),
-    "in force: the store came back from a copy": (FIRST_BACKOFF_SECONDS + LIST, IN_FORCE["small"]),
     "in force: the same, and connections were kept": (
-        # The list's watch ends first, and tells.
-        discovery.WATCH_SECONDS + SLOW_STORE + discovery.RESTORE_SPREAD_SECONDS + SLOW_STORE,
-        STEADY["small"],
+        # The watch of the list ends first and reveals the restore.
+        discovery.WATCH_SECONDS
+        + SLOW_STORE_SECONDS
+        + discovery.RESTORE_SPREAD_SECONDS
+        + SLOW_STORE_SECONDS,
+        STEADY_SECONDS["small"],
     ),
-    "in force: nothing": (SLOW_STORE, IN_FORCE["small"]),
+    "in force: nothing": (SLOW_STORE_SECONDS, IN_FORCE_SECONDS["small"]),
     "in force: the watch is reset": (
-        FIRST_BACKOFF_SECONDS + LIST,
-        IN_FORCE["small"],
+        FIRST_BACKOFF_SECONDS + LIST_SECONDS,
+        IN_FORCE_SECONDS["small"],
     ),
     "in force: a host cannot reach the store": (
-        HEARTBEAT + DATAGRAM + exchange.CONFIG_WAIT_SECONDS + DATAGRAM,
-        IN_FORCE["small"],
+        HEARTBEAT_SECONDS + DATAGRAM_SECONDS + exchange.CONFIG_WAIT_SECONDS + DATAGRAM_SECONDS,
+        IN_FORCE_SECONDS["small"],
     ),
     "in force, large version on a thin link: from a peer": (
-        SLOW_STORE
+        SLOW_STORE_SECONDS
         + gossip.LARGE_REPORT_SECONDS
-        + DATAGRAM
+        + DATAGRAM_SECONDS
         + exchange.CONFIG_WAIT_SECONDS
-        + read_over_thin_link(COPY_BYTES),
-        IN_FORCE["large"],
+        + read_over_slow_link(COPY_BYTES),
+        IN_FORCE_SECONDS["large"],
     ),
     "in force, large version on a thin link: no peer has it": (
-        SLOW_STORE + read_over_thin_link(VERSION_BYTES),
-        IN_FORCE["large"],
-    ),
-    # A connection that is coming up when the word is heard; no choice is made by then any more.
-    "leaving, by its answers: a connection comes up": (pool.CONNECT_SECONDS, LEAVING["small"]),
-    "rest: a connection comes up": (pool.CONNECT_SECONDS, UNDER_WAY),
-    "kept back: nothing": (CRASH_SEEN + DATAGRAM, KEPT_BACK),
-    "kept back, by keepers: nothing": (CRASH_SEEN + 2 * DATAGRAM, KEPT_BACK),
+        SLOW_STORE_SECONDS + read_over_slow_link(VERSION_BYTES),
+        IN_FORCE_SECONDS["large"],
+    ),
+    # A connection that is being established when the signal arrives still gets a request.
+    "leaving, by its answers: a connection comes up": (
+        pool.CONNECT_SECONDS,
+        LEAVING_SECONDS["small"],
+    ),
+    "rest: a connection comes up": (pool.CONNECT_SECONDS, IN_FLIGHT_SECONDS),
+    "kept back: nothing": (CRASH_DETECTION_SECONDS + DATAGRAM_SECONDS, QUARANTINE_SECONDS),
+    "kept back, by keepers: nothing": (
+        CRASH_DETECTION_SECONDS + 2 * DATAGRAM_SECONDS,
+        QUARANTINE_SECONDS,
+    ),
     "kept back: all words of a crash but the last are lost": (
-        CRASH_SEEN + quarantine_relay.TOLD_AGAIN * PUSH + 2 * DATAGRAM,
-        KEPT_BACK,
+        CRASH_DETECTION_SECONDS + quarantine_relay.TOLD_AGAIN * PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
+        QUARANTINE_SECONDS,
     ),
     "kept back: a host was cut off": (
-        # It is heard again, and asks with its next word.
-        HEARTBEAT + DATAGRAM + PUSH + 2 * DATAGRAM,
-        KEPT_BACK,
-    ),
-    "kept back: a host slept, or has started": (PUSH + 2 * DATAGRAM, KEPT_BACK),
-    # The age that the proof of a version reaches; past the bound keys are refused.
-    "keys: nothing": (READ_PAUSE + SLOW_STORE + ASK_PAUSE + QUESTION, KEYS),
-    "keys: a question is lost": (READ_PAUSE + SLOW_STORE + 2 * ASK_PAUSE + QUESTION, KEYS),
-    "keys: both readers of a zone are gone": (WIDENED + ASK_PAUSE + QUESTION, KEYS),
+        # It is heard again and asks for crash records with its next report.
+        HEARTBEAT_SECONDS + DATAGRAM_SECONDS + PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
+        QUARANTINE_SECONDS,
+    ),
+    "kept back: a host slept, or has started": (
+        PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
+        QUARANTINE_SECONDS,
+    ),
+    # The highest age of the confirmation of a version; beyond the bound, keys are refused.
+    "keys: nothing": (
+        READ_INTERVAL_SECONDS + SLOW_STORE_SECONDS + QUERY_INTERVAL_SECONDS + QUERY_SECONDS,
+        KEYS_SECONDS,
+    ),
+    "keys: a question is lost": (
+        READ_INTERVAL_SECONDS + SLOW_STORE_SECONDS + 2 * QUERY_INTERVAL_SECONDS + QUERY_SECONDS,
+        KEYS_SECONDS,
+    ),
+    "keys: both readers of a zone are gone": (
+        WIDENED_SECONDS + QUERY_INTERVAL_SECONDS + QUERY_SECONDS,
+        KEYS_SECONDS,
+    ),
     "keys: the store was away for two seconds": (
-        READ_PAUSE + SLOW_STORE + ASK_PAUSE + QUESTION + 2.0,
-        KEYS,
+        READ_INTERVAL_SECONDS + SLOW_STORE_SECONDS + QUERY_INTERVAL_SECONDS + QUERY_SECONDS + 2.0,
+        KEYS_SECONDS,
     ),
     "in force, by dated words: they stop": (
-        WIDENED + configuration.FOLLOW_POLL_SECONDS + LIST,
-        IN_FORCE["large"],
+        WIDENED_SECONDS + configuration.FOLLOW_POLL_SECONDS + LIST_SECONDS,
+        IN_FORCE_SECONDS["large"],
     ),
 }
 
 
 @pytest.mark.parametrize("chain", SUMS)
-def test_the_waits_of_each_chain_together_stay_under_its_bound(chain):
-    # Each wait of a chain had a comment that showed it to be under the bound of 2 s; added up they
-    # were 5 s, and an instance that had left got requests for 2.8 s.
+def test_the_delays_of_each_chain_sum_up_to_at_most_its_bound(chain):
+    # Guards against delays that each are under the bound while their sum is not.
     seconds, bound = SUMS[chain]
     assert seconds <= bound
 
 
-def test_the_table_of_the_invariants_shows_these_sums():
+def test_the_table_of_the_invariants_page_shows_these_sums():
     page = (Path(__file__).parents[2] / "docs" / "INVARIANTS.md").read_text()
     rows = dict(
         re.findall(
@@ -209,4 +249,4 @@
 
 
 def test_a_peer_misses_two_heartbeats_before_it_counts_as_silent():
-    assert 2 * HEARTBEAT < peers.SILENCE_SECONDS
+    assert 2 * HEARTBEAT_SECONDS < peers.SILENCE_SECONDS
--- a/tests/hosted/test_callers.py
+++ b/tests/hosted/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers meet: strict framing, limits, polite and impolite ends."""
+"""Connections of callers: strict framing, limits, and closing by either side."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class EchoHandler(RequestHandler):
-    """Answers with the body, and keeps what it saw."""
+    """Responds with the request's body and records the requests."""
 
     def __init__(self):
         self.seen = []
@@ -27,7 +27,7 @@
 
     async def handle(self, request, reply):
         if request.head.target == b"/fault/":
-            raise ValueError("a fault of the program")
+            raise ValueError("an error in the handler")
         self.seen.append((request.head.method, request.head.target))
         try:
             if self.hold is not None:
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("data", BAD.values(), ids=BAD.keys())
-def test_a_request_that_two_readers_may_read_differently_ends_its_connection(data):
+def test_an_ambiguously_framed_request_ends_its_connection(data):
     @with_echo
     async def run(handler, connections, caller):
         caller.send(data)
@@ -107,7 +107,7 @@
         (b"GET /a/ HTTP/1.1\r\nHost: x\r\n", 408),
     ],
 )
-def test_what_is_over_a_limit_is_refused_with_the_limits_status(data, status):
+def test_a_request_over_a_limit_is_refused_with_the_status_of_that_limit(data, status):
     @with_echo
     async def run(handler, connections, caller):
         caller.send(data)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_spoiled_request_never_ends_the_listener(seed):
+def test_a_corrupt_request_does_not_stop_the_listener(seed):
     rng = random.Random(seed)
     data = bytearray(POST + b"Content-Length: 5\r\nX-A: b\r\n\r\nabcde" + BAD["two codings"])
     for _ in range(rng.randint(1, 6)):
@@ -151,21 +151,21 @@
 
 
 @with_echo
-async def test_a_body_in_chunks_arrives_whole(handler, connections, caller):
+async def test_a_chunked_body_arrives_completely(handler, connections, caller):
     caller.send(POST + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
     caller.send(b"2\r\nde\r\n0\r\n\r\n")
     assert (await caller.read_answer()).body == b"abcde"
 
 
 @with_echo
-async def test_an_idle_connection_is_closed_after_its_time(handler, connections, caller):
+async def test_an_idle_connection_is_closed_after_the_idle_timeout(handler, connections, caller):
     caller.send(b"GET /a/ HTTP/1.1\r\nHost: x\r\n\r\n")
     assert (await caller.read_answer()).status == 200
     assert (await caller.read_answer()).status == 0
 
 
 @with_echo
-async def test_a_caller_that_leaves_cancels_its_request(handler, connections, caller):
+async def test_a_caller_that_disconnects_cancels_its_request(handler, connections, caller):
     handler.hold = asyncio.Event()
     caller.send(b"GET /a/ HTTP/1.1\r\nHost: x\r\n\r\n")
     while not handler.seen:
@@ -176,7 +176,9 @@
 
 
 @with_echo
-async def test_a_stop_lets_the_open_request_end_and_says_close(handler, connections, caller):
+async def test_a_stop_completes_the_open_request_with_connection_close(
+    handler, connections, caller
+):
     handler.hold = asyncio.Event()
     caller.send(b"GET /a/ HTTP/1.1\r\nHost: x\r\n\r\n")
     while not handler.seen:
@@ -189,16 +191,14 @@
 
 
 @with_echo
-async def test_a_fault_of_the_program_ends_the_connection_and_not_only_its_task(
-    handler, connections, caller
-):
+async def test_an_exception_in_the_handler_closes_the_connection(handler, connections, caller):
     caller.send(b"GET /fault/ HTTP/1.1\r\nHost: x\r\n\r\n")
     async with asyncio.timeout(5):
         assert (await caller.read_answer()).status == 0
 
 
 @with_echo
-async def test_an_expected_continue_is_given(handler, connections, caller):
+async def test_an_expected_100_continue_is_sent(handler, connections, caller):
     caller.send(POST + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
     assert await caller.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
     caller.send(b"a")
--- a/tests/hosted/test_upstreams.py
+++ b/tests/hosted/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: strict answers, and what follows or breaks them."""
+"""Connections to upstreams: strict parsing of responses, and bytes after or resets during them."""
 
 import asyncio
 import socket
@@ -19,14 +19,14 @@
 
 
 async def call(data, reset=False):
-    """Answer one call with these bytes, then close or reset; return the body and the pool."""
+    """Respond to one call with these bytes, then close or reset; return the received body."""
 
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(data)
         await writer.drain()
         if reset:
-            # Closing with this option resets the connection.
+            # With SO_LINGER of 0, closing resets the connection.
             linger = struct.pack("ii", 1, 0)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             writer.transport.abort()
@@ -50,8 +50,7 @@
     [FIRST, FIRST + SECOND, CHUNKED, CHUNKED + SECOND, FIRST + b"no answer", UNFRAMED],
     ids=["one", "two", "chunked", "chunked and one", "noise behind", "unframed"],
 )
-def test_an_answer_is_its_own_bytes_whatever_follows_it(data):
-    # "two" was found on the grown deployments, trouble-1: the second body joined the first.
+def test_bytes_after_a_response_do_not_become_part_of_it(data):
     assert asyncio.run(call(data)) == b"first"
 
 
@@ -60,6 +59,6 @@
     [UNFRAMED, FIRST[:-2], CHUNKED[:-5], b"HTTP/1.1 2", b"no answer at all\r\n\r\n"],
     ids=["unframed", "short", "no last chunk", "half a head", "noise"],
 )
-def test_an_answer_that_is_reset_on_the_way_is_broken(data):
+def test_a_response_interrupted_by_a_reset_raises_an_error(data):
     with pytest.raises(UpstreamBrokenError):
         asyncio.run(call(data, reset=True))
