--- a/src/swifttrestle/internal/protocol/calls.py
+++ b/src/swifttrestle/internal/protocol/calls.py
@@ -1,7 +1,7 @@
 """Requests to upstreams: streamed calls to engines and calls to plain services.
 
-Each error says whether any byte of the request may have been sent, which decides whether the call
-may be retried.
+The field `sent` of each error says whether the upstream may have executed the request, which
+decides whether the call may be retried.
 """
 
 import socket
@@ -124,11 +124,11 @@
 
 def start_prefill(address: str, call: EngineCall, connect: float, seconds: float) -> str:
     """Have an engine prefill a prompt; return the handle of the KV cache."""
-    answer = call_plain(
+    response = call_plain(
         address, "/v1/prefill", call.body(), {}, connect_seconds=connect, seconds=seconds
     )
     try:
-        return str(orjson.loads(answer.body)["handle"])
+        return str(orjson.loads(response.body)["handle"])
     except (orjson.JSONDecodeError, KeyError, TypeError):
         raise UpstreamBrokenError(f"{address}: no handle in the response", sent=True) from None
 
--- a/src/swifttrestle/internal/protocol/freshness.py
+++ b/src/swifttrestle/internal/protocol/freshness.py
@@ -38,15 +38,15 @@
 MAX_MESSAGE_SECONDS = 1e12
 
 
-def pack_freshness_query(question: FreshnessQuery) -> bytes:
+def pack_freshness_query(query: FreshnessQuery) -> bytes:
     """Return the datagram of a query."""
-    data: bytes = msgpack.packb([question.asked_at, question.wall])
+    data: bytes = msgpack.packb([query.asked_at, query.wall])
     return data
 
 
-def pack_freshness_reply(answer: FreshnessReply) -> bytes:
+def pack_freshness_reply(reply: FreshnessReply) -> bytes:
     """Return the datagram of a reply."""
-    data: bytes = msgpack.packb([answer.asked_at, answer.version, answer.age, answer.wall])
+    data: bytes = msgpack.packb([reply.asked_at, reply.version, reply.age, reply.wall])
     return data
 
 
--- a/src/swifttrestle/internal/protocol/quarantine.py
+++ b/src/swifttrestle/internal/protocol/quarantine.py
@@ -45,32 +45,32 @@
 
 def split_records(records: Iterable[CrashRecord]) -> Iterator[CrashUpdate]:
     """Split records into updates that each fit one datagram."""
-    part: list[CrashRecord] = []
-    for case in records:
-        part.append(case)
-        if len(part) == RECORDS_PER_DATAGRAM:
-            yield CrashUpdate(tuple(part))
-            part = []
-    if part:
-        yield CrashUpdate(tuple(part))
+    batch: list[CrashRecord] = []
+    for record in records:
+        batch.append(record)
+        if len(batch) == RECORDS_PER_DATAGRAM:
+            yield CrashUpdate(tuple(batch))
+            batch = []
+    if batch:
+        yield CrashUpdate(tuple(batch))
 
 
-def pack_crash_update(news: CrashUpdate, now: float) -> bytes:
+def pack_crash_update(update: CrashUpdate, now: float) -> bytes:
     """Return the datagram of an update; times are encoded as seconds before `now`.
 
     `now` is the event loop's time.
     """
     records = [
         (
-            pack_fingerprint(case.name),
-            [(crash.start, max(0.0, now - crash.at)) for crash in case.crashes],
+            pack_fingerprint(record.name),
+            [(crash.start, max(0.0, now - crash.at)) for crash in record.crashes],
         )
-        for case in news.records
+        for record in update.records
     ]
     clearances = [
-        (pack_fingerprint(item.name), max(0.0, now - item.at)) for item in news.clearances
+        (pack_fingerprint(item.name), max(0.0, now - item.at)) for item in update.clearances
     ]
-    data: bytes = msgpack.packb((records, clearances, news.wants_all))
+    data: bytes = msgpack.packb((records, clearances, update.wants_all))
     return data
 
 
@@ -91,10 +91,10 @@
 
 
 def _read_record(name: Any, crashes: Any, now: float) -> CrashRecord:
-    read = tuple(Crash(_read_start(start), now - _read_age(age)) for start, age in crashes)
-    if not 0 < len(read) <= MAX_CRASHES:
-        raise ValueError(f"{len(read)} crashes; give 1 to {MAX_CRASHES}")
-    return CrashRecord(unpack_fingerprint(name), read)
+    parsed = tuple(Crash(_read_start(start), now - _read_age(age)) for start, age in crashes)
+    if not 0 < len(parsed) <= MAX_CRASHES:
+        raise ValueError(f"{len(parsed)} crashes; give 1 to {MAX_CRASHES}")
+    return CrashRecord(unpack_fingerprint(name), parsed)
 
 
 def unpack_fingerprint(raw: Any) -> RequestFingerprint:
@@ -116,6 +116,6 @@
     return raw
 
 
-def pack_fingerprint(name: RequestFingerprint) -> bytes:
+def pack_fingerprint(fingerprint: RequestFingerprint) -> bytes:
     """Return the bytes of a fingerprint."""
-    return name.head + name.body
+    return fingerprint.head + fingerprint.body
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -74,8 +74,8 @@
     @property
     def effective_read_rate(self) -> float:
         """Prompt tokens per second that it prefills in its current role."""
-        share = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
-        return self.read_rate * share
+        factor = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
+        return self.read_rate * factor
 
     @property
     def leaving(self) -> bool:
@@ -94,8 +94,8 @@
         """Update the prefill rate by one prompt; `tokens` include those queued before it."""
         if tokens < MIN_SAMPLE_TOKENS or seconds <= 0:
             return
-        share = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
-        self.read_rate += RATE_SAMPLE_WEIGHT * (tokens / seconds / share - self.read_rate)
+        factor = DECODE_READ_SHARE if self.role is Role.DECODE else 1.0
+        self.read_rate += RATE_SAMPLE_WEIGHT * (tokens / seconds / factor - self.read_rate)
 
 
 def _return_false(_: str) -> bool:
@@ -115,7 +115,7 @@
         # The current incarnations, by name.
         self.instances: dict[str, Instance] = {}
         # The name of the current incarnation, by the instance in the discovery list.
-        self._starts: dict[str, str] = {}
+        self._current_names: dict[str, str] = {}
         # Called with an incarnation that a later one has replaced, or that is no longer listed.
         self.on_replaced: Callable[[Instance], None] = do_nothing
         self.on_removed: Callable[[Instance], None] = do_nothing
@@ -160,15 +160,15 @@
 
     def list_names(self) -> set[str]:
         """Return the current instances, as named in the discovery list."""
-        return set(self._starts)
+        return set(self._current_names)
 
     def knows(self, instance: str) -> bool:
         """Return whether an instance of the discovery list is known."""
-        return instance in self._starts
+        return instance in self._current_names
 
     def find_start(self, instance: str) -> Instance | None:
         """Return the current incarnation of an instance of the discovery list, or None."""
-        name = self._starts.get(instance)
+        name = self._current_names.get(instance)
         return None if name is None else self.instances[name]
 
     def is_stale_record(self, record: UpstreamRecord) -> bool:
@@ -194,7 +194,7 @@
         if known is None:
             known = Instance(record, read_rate=self._estimate_rate(record.service))
             self.instances[record.start] = known
-            self._starts[record.instance] = record.start
+            self._current_names[record.instance] = record.start
         elif known.record.service != record.service:
             self._services[known.record.service].pop(known.name, None)
         if known.record.role is not record.role:
@@ -211,10 +211,10 @@
         if known is not None:
             self.put(known.record)
 
-    def _replace(self, former: Instance) -> None:
-        former.replaced = True
-        self._drop(former)
-        self.on_replaced(former)
+    def _replace(self, replaced_instance: Instance) -> None:
+        replaced_instance.replaced = True
+        self._drop(replaced_instance)
+        self.on_replaced(replaced_instance)
 
     def note_ordered_role(self, instance: str, role: Role, ready_at: float) -> None:
         """Treat an engine as changing to a role until `ready_at`, and as in that role after it."""
@@ -233,17 +233,17 @@
         self.on_removed(known)
         return True
 
-    def _drop(self, start: Instance) -> None:
-        start.gone = True
-        self.instances.pop(start.name, None)
-        self._starts.pop(start.record.instance, None)
-        self._services[start.record.service].pop(start.name, None)
+    def _drop(self, instance: Instance) -> None:
+        instance.gone = True
+        self.instances.pop(instance.name, None)
+        self._current_names.pop(instance.record.instance, None)
+        self._services[instance.record.service].pop(instance.name, None)
 
     def note_peer(self, peer: str, work: dict[str, OpenWork], now: float) -> None:
         """Replace the open work that a peer reports."""
-        before = self._peers.get(peer)
-        if before is not None:
-            self._add_peer_work(before.work.items(), sign=-1)
+        previous = self._peers.get(peer)
+        if previous is not None:
+            self._add_peer_work(previous.work.items(), sign=-1)
         self._peers[peer] = _PeerWork(now, work)
         self._add_peer_work(work.items(), sign=1)
 
@@ -270,10 +270,10 @@
             instance = self.instances.get(name)
             if instance is None:
                 continue
-            both = instance.peers.plus(work) if sign > 0 else instance.peers.minus(work)
+            combined = instance.peers.plus(work) if sign > 0 else instance.peers.minus(work)
             # The peer's earlier report may have preceded this instance's listing here, so that
             # less was added than is subtracted now.
-            instance.peers = OpenWork(max(0, both.tokens), max(0, both.requests))
+            instance.peers = OpenWork(max(0, combined.tokens), max(0, combined.requests))
 
     def _estimate_rate(self, service: str) -> float:
         rates = [item.read_rate for item in self._services[service].values()]
--- a/src/swifttrestle/internal/state/prompt_cache.py
+++ b/src/swifttrestle/internal/state/prompt_cache.py
@@ -48,13 +48,13 @@
     def note(self, parts: Iterable[PromptPart], memory: int, read: bool = False) -> None:
         """Record parts sent to an engine with a memory in tokens; `read` if they were prefilled."""
         for item in parts:
-            known = self._drop(item)
-            self._parts[item.part] = _CachedPart(item.tokens, read or known)
+            confirmed = self._drop(item)
+            self._parts[item.part] = _CachedPart(item.tokens, read or confirmed)
             self._tokens += item.tokens
         limit = (memory or DEFAULT_MEMORY_TOKENS) * CACHED_SHARE
         while self._parts and self._tokens > limit:
-            _, kept = self._parts.popitem(last=False)
-            self._tokens -= kept.tokens
+            _, cached = self._parts.popitem(last=False)
+            self._tokens -= cached.tokens
 
     def forget(self, parts: Iterable[PromptPart]) -> None:
         """Drop parts, for example after a failed prefill."""
@@ -63,11 +63,11 @@
 
     def _drop(self, item: PromptPart) -> bool:
         """Drop a part; return whether its prefill was confirmed."""
-        kept = self._parts.pop(item.part, None)
-        if kept is None:
+        cached = self._parts.pop(item.part, None)
+        if cached is None:
             return False
-        self._tokens -= kept.tokens
-        return kept.read
+        self._tokens -= cached.tokens
+        return cached.read
 
     def list_unread(self, parts: Sequence[PromptPart]) -> tuple[PromptPart, ...]:
         """Return the parts that need prefill: the first one not cached and all after it."""
@@ -78,15 +78,15 @@
 
     def count(self, parts: Sequence[PromptPart]) -> int:
         """Return the tokens of the leading parts that are cached and need no prefill."""
-        kept = len(parts) - len(self.list_unread(parts))
-        return sum(item.tokens for item in parts[:kept])
+        cached = len(parts) - len(self.list_unread(parts))
+        return sum(item.tokens for item in parts[:cached])
 
     def count_read(self, parts: Sequence[PromptPart]) -> int:
         """Return the tokens of the leading parts whose prefill is confirmed, not just booked."""
         tokens = 0
         for item in parts:
-            kept = self._parts.get(item.part)
-            if kept is None or not kept.read:
+            cached = self._parts.get(item.part)
+            if cached is None or not cached.read:
                 break
             tokens += item.tokens
         return tokens
--- a/src/swifttrestle/internal/state/upstreams.py
+++ b/src/swifttrestle/internal/state/upstreams.py
@@ -259,7 +259,7 @@
             state = self._states.get(name)
             if state is None:
                 return False
-            settled = bool(_show_holding(state.report)) and not self._closings.is_closed(name)
+            settled = bool(_format_holding(state.report)) and not self._closings.is_closed(name)
             recent = state.sends and self._clock.now() - state.sends[-1][0] < IN_USE_SECONDS
             return bool(recent) or state.open > 0 or not settled
 
@@ -275,7 +275,11 @@
             state = self._states.get(name)
             if state is None:
                 return False
-            group = [n for n, s in self._states.items() if _share_work(s.upstream, state.upstream)]
+            group = [
+                n
+                for n, s in self._states.items()
+                if _serve_same_requests(s.upstream, state.upstream)
+            ]
             return self._ejector.note_failure(name, group, self._clock.now())
 
     def note_first_token(self, name: str, tokens: float, seconds: float) -> None:
@@ -310,7 +314,7 @@
             return {
                 name: {
                     "open": state.open,
-                    "holding": _show_holding(state.report),
+                    "holding": _format_holding(state.report),
                     "report_age": round(now - state.reported_at, 3) if state.report else None,
                     "prefill_rate": round(state.prefill_rate),
                     "token_seconds": round(state.token_seconds, 5),
@@ -321,13 +325,13 @@
             }
 
 
-def _show_holding(report: LoadReport | None) -> str:
+def _format_holding(report: LoadReport | None) -> str:
     if report is None or report.state.changing or not report.state.holding.model:
         return ""
     return f"{report.state.holding.model}@{report.state.holding.version}"
 
 
-def _share_work(one: Upstream, other: Upstream) -> bool:
+def _serve_same_requests(one: Upstream, other: Upstream) -> bool:
     if one.type == "engine":
         return other.type == "engine" and one.model == other.model
     return bool(set(one.services) & set(other.services))
--- a/src/swifttrestle/internal/transport/messages.py
+++ b/src/swifttrestle/internal/transport/messages.py
@@ -43,8 +43,8 @@
 class ResponseHead:
     """The head of an upstream's response.
 
-    `closes` says that the connection ends after it. `keep_seconds` is the timeout in its Keep-Alive
-    header, or None.
+    `closes` says that the connection ends after it. `keep_alive_seconds` is the timeout in its
+    Keep-Alive header, or None.
     """
 
     status: int
@@ -52,7 +52,7 @@
     framing: Framing
     length: int = 0
     closes: bool = False
-    keep_seconds: float | None = None
+    keep_alive_seconds: float | None = None
 
 
 class Body:
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -86,7 +86,9 @@
         if not await connection.finish(patience=0.0 if head.closes else 0.5):
             connection.close()
             return
-        seconds = DEFAULT_IDLE_SECONDS if head.keep_seconds is None else head.keep_seconds
+        seconds = (
+            DEFAULT_IDLE_SECONDS if head.keep_alive_seconds is None else head.keep_alive_seconds
+        )
         keep = seconds - IDLE_MARGIN_SECONDS
         now = asyncio.get_running_loop().time()
         connection.idle_until = now + keep if keep > 0 else 0.0
