--- a/src/swifttrestle/internal/state/store_epochs.py
+++ b/src/swifttrestle/internal/state/store_epochs.py
@@ -52,7 +52,7 @@
 
         A response without a readable epoch belongs to the current one. A response with a lower
         epoch dates from before a restore and is rejected, unless only lower ones arrive for
-        LOWER_EPOCH_SECONDS: then the store was set up anew with a lower number.
+        LOWER_EPOCH_SECONDS: then the store was recreated with a lower epoch.
         """
         if named is None:
             return
@@ -81,10 +81,10 @@
 
     def _enter(self, named: int, now: float) -> None:
         # The first epoch that a process receives is no restore.
-        returned, self._has_epoch = self._has_epoch, True
-        self.returns += returned
+        restored, self._has_epoch = self._has_epoch, True
+        self.returns += restored
         log_event("store epoch", before=self.current, epoch=named, returns=self.returns)
         self.current, self.since = named, now
         self._lower_since = None
-        if returned:
+        if restored:
             self.on_return()
