--- a/src/swifttrestle/entry.py
+++ b/src/swifttrestle/entry.py
@@ -1,4 +1,4 @@
-"""`swifttrestle-entry`: takes callers' requests, admits, routes, relays and resumes them."""
+"""`swifttrestle-entry`: admits, routes and relays callers' requests."""
 
 import random
 import threading
@@ -9,13 +9,13 @@
 
 from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.clock import MonotonicClock, read_boottime_seconds
+from swifttrestle.internal.entry.admission_queue import BlockingAdmissionQueue
 from swifttrestle.internal.entry.attempts import Attempts
 from swifttrestle.internal.entry.crash_guard import EntryCrashGuard
+from swifttrestle.internal.entry.handler import EntryHandler
 from swifttrestle.internal.entry.idempotency import IdempotencyRecords
 from swifttrestle.internal.entry.relay import RelayParts
-from swifttrestle.internal.entry.reports import ReportReader
-from swifttrestle.internal.entry.serving import EntryHandler
-from swifttrestle.internal.entry.waiting import BlockingAdmissionQueue
+from swifttrestle.internal.entry.report_reader import ReportReader
 from swifttrestle.internal.policy.routing import LeastPredicted
 from swifttrestle.internal.process import Process, run_program, wants_help
 from swifttrestle.internal.protocol.peers import ENTRY
@@ -30,16 +30,16 @@
 
 
 class Entry:
-    """All parts of one entry process."""
+    """The components of one entry process."""
 
     def __init__(self, settings: EntrySettings) -> None:
-        """Bind the callers' port and prepare; `run` begins and returns at a planned stop."""
+        """Bind the callers' port; `run` starts serving."""
         self._settings = settings
         closings = ClosingTable()
         self.table = UpstreamTable(settings.zone, closings, MonotonicClock())
         self.process = Process(settings, ENTRY, (), self.table, closings)
         seed = settings.seed or zlib.crc32(settings.name.encode())
-        self.line = BlockingAdmissionQueue(self.process.clock)
+        self.queue = BlockingAdmissionQueue(self.process.clock)
         attempts = Attempts(
             self.table,
             LeastPredicted(),
@@ -51,7 +51,7 @@
         )
         self._attempts = attempts
         self.pump = Pump()
-        parts = RelayParts(
+        relay_parts = RelayParts(
             self.pump,
             attempts,
             ThreadPoolExecutor(HELPERS, thread_name_prefix="resume"),
@@ -61,8 +61,8 @@
         self.handler = EntryHandler(
             config=self.process.config,
             table=self.table,
-            line=self.line,
-            parts=parts,
+            queue=self.queue,
+            relay_parts=relay_parts,
             claims=IdempotencyRecords(self.process.api, settings.name),
             metrics=self.process.metrics,
             threads=settings.threads,
@@ -70,7 +70,7 @@
             connect_seconds=settings.connect_seconds,
         )
         self.reports = ReportReader(
-            self.table, self.line, self.process.metrics, settings.report_seconds
+            self.table, self.queue, self.process.metrics, settings.report_seconds
         )
         self.server = make_server(
             parse_address(settings.listen),
@@ -79,12 +79,13 @@
             settings.max_body_bytes,
             settings.max_header_bytes,
         )
-        self._add_views()
+        self._add_state()
 
-    def _add_views(self) -> None:
+    def _add_state(self) -> None:
+        """Add the entry's state to the state dump and the metrics."""
         process = self.process
         process.add_dump("upstreams", self.table.dump)
-        process.add_dump("quarantine", self._attempts.guard.list_names)
+        process.add_dump("quarantine", self._attempts.guard.list_quarantined)
         process.add_dump("open_requests", lambda: self.handler.open_requests)
         process.metrics.add_gauge(
             "open_requests", "Requests taken and not ended", lambda: self.handler.open_requests
@@ -93,39 +94,39 @@
             "open_streams", "Streams in the relay pump", lambda: self.pump.open_streams
         )
         process.metrics.add_gauge(
-            "waiting_requests", "Requests waiting for room", lambda: self.line.waiting
+            "waiting_requests", "Requests waiting for room", lambda: self.queue.waiting
         )
 
     def run(self) -> None:
-        """Serve until a planned stop."""
+        """Serve until a graceful shutdown has ended."""
         self.process.start()
         self.pump.start()
         self.reports.start()
-        threading.Thread(target=self._announce_ends, daemon=True).start()
+        threading.Thread(target=self._announce_idle_upstreams, daemon=True).start()
         threading.Thread(target=self.server.serve, name="callers", daemon=True).start()
         listen = server_address(self.server)
         self.process.run_until_stopped({"listen": listen}, self._stop)
 
-    def _announce_ends(self) -> None:
-        """Tell the peers at once when the last request on a closed upstream has ended."""
+    def _announce_idle_upstreams(self) -> None:
+        """Notify the peers at once when the last request on a closed upstream has ended."""
         while True:
-            self._attempts.ended.wait()
-            self._attempts.ended.clear()
+            self._attempts.closed_upstream_idle.wait()
+            self._attempts.closed_upstream_idle.clear()
             self.process.membership.announce()
 
     def _stop(self) -> None:
-        """Refuse new requests, then wait for the open ones; none is cut."""
+        """Refuse new requests, then wait up to `stop_seconds` for the open ones."""
         self.handler.stopping = True
-        give_up = read_boottime_seconds() + self._settings.stop_seconds
-        with self.handler.idle:
-            while self.handler.open_requests and read_boottime_seconds() < give_up:
-                self.handler.idle.wait(0.2)
+        deadline = read_boottime_seconds() + self._settings.stop_seconds
+        with self.handler.request_ended:
+            while self.handler.open_requests and read_boottime_seconds() < deadline:
+                self.handler.request_ended.wait(0.2)
         self.reports.stop()
         self.server.stop()
 
 
 def run(settings: EntrySettings) -> None:
-    """Run an entry until it is told to stop."""
+    """Run an entry until SIGTERM or SIGINT."""
     Entry(settings).run()
 
 
--- a/src/swifttrestle/internal/entry/waiting.py
+++ b/src/swifttrestle/internal/entry/admission_queue.py
@@ -1,7 +1,6 @@
-"""Requests that found no room and wait: urgent first, then the earliest deadline.
+"""Queue of requests that wait for capacity: urgent ones first, then by deadline.
 
-A request waits only while it can still be answered in time. The moment that it cannot, it
-gets its refusal; it is never held back to keep its caller quiet.
+A request is refused as soon as it can no longer be answered before its deadline.
 """
 
 import itertools
@@ -12,20 +11,21 @@
 from swifttrestle.codes import Code
 from swifttrestle.errors import RefusedError
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.entry.requests import Terms
+from swifttrestle.internal.entry.requests import RequestTerms
 from swifttrestle.internal.policy.admission import Admission, Decision
 from swifttrestle.internal.policy.routing import URGENT, Candidate, RequestEstimate
 
-LOOK_AGAIN_SECONDS = 0.05
-DECIDE_AGAIN_SECONDS = 1.0
-BACKGROUND_SLACK = 3.0
+POLL_INTERVAL_SECONDS = 0.05
+DECISION_INTERVAL_SECONDS = 1.0
+# Factor by which the queue lengthens the deadlines of background requests when it sorts.
+BACKGROUND_DEADLINE_FACTOR = 3.0
 Find = Callable[[], list[Candidate]]
 Take = Callable[[tuple[Candidate, ...]], bool]
 
 
 @dataclass(frozen=True, order=True)
 class QueueEntry:
-    """A request's entry: rank, then deadline, then order of arrival."""
+    """The position of a request, sorted by rank, deadline and order of arrival."""
 
     rank: int
     due: float
@@ -34,13 +34,13 @@
 
 @dataclass(frozen=True)
 class AdmissionRequest:
-    """What a request that needs room brings along.
+    """A request that needs capacity at an upstream.
 
-    `find` returns the candidates of this moment, `take` counts the request on one of the
-    roomy ones or returns False, and `limit` is the most requests that may wait before it.
+    `find` returns the current candidates, `take` counts the request on one of those with room or
+    returns False, and `limit` is the largest number of requests that may wait before it.
     """
 
-    terms: Terms
+    terms: RequestTerms
     work: RequestEstimate
     admission: Admission
     limit: int
@@ -49,7 +49,7 @@
 
 
 class BlockingAdmissionQueue:
-    """All requests of one entry that wait for room, one queue a group of upstreams."""
+    """The waiting requests of one entry, in one queue per group of upstreams."""
 
     def __init__(self, clock: Clock) -> None:
         """Start empty."""
@@ -60,19 +60,19 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait now."""
+        """The number of waiting requests."""
         return sum(len(entries) for entries in self._entries.values())
 
     def notify(self) -> None:
-        """Room may have come free."""
+        """Wake the waiting requests, since capacity may have become available."""
         with self._changed:
             self._changed.notify_all()
 
     def admit(self, group: str, request: AdmissionRequest) -> None:
-        """Return once the request has taken one of the roomy candidates; raise RefusedError."""
+        """Wait until the request is counted on a candidate; raise RefusedError."""
         terms = request.terms
-        slack = BACKGROUND_SLACK if terms.priority == "background" else 1.0
-        due = terms.started + terms.deadline * slack
+        factor = BACKGROUND_DEADLINE_FACTOR if terms.priority == "background" else 1.0
+        due = terms.started + terms.deadline * factor
         rank = 0 if terms.priority == URGENT else 1
         entry = QueueEntry(rank, due, next(self._numbers))
         with self._changed:
@@ -91,30 +91,30 @@
         decided_at = float("-inf")
         while True:
             now = self._clock.now()
-            left = request.terms.left(now)
-            if left <= 0:
+            remaining = request.terms.remaining(now)
+            if remaining <= 0:
                 raise RefusedError(Code.DEADLINE_PASSED, "the deadline passed in the queue")
             ahead = entries.index(entry)
-            # The first is decided on at each look; the rest now and then, since each
-            # decision costs a look at every upstream and none of them could go.
-            if not ahead or now - decided_at >= DECIDE_AGAIN_SECONDS:
+            # Only the first request can be admitted, so it is decided at each wake-up. The others
+            # are decided less often, since a decision reads the state of every upstream.
+            if not ahead or now - decided_at >= DECISION_INTERVAL_SECONDS:
                 decided_at = now
                 candidates = request.find()
                 result = request.admission.decide(
-                    candidates, request.work, left, ahead, request.limit
+                    candidates, request.work, remaining, ahead, request.limit
                 )
                 if result.decision is Decision.GO and request.take(result.available):
                     return
                 if result.decision is Decision.REFUSE:
                     _refuse(candidates, ahead, request.limit, result.retry_after)
-            self._changed.wait(min(left, LOOK_AGAIN_SECONDS))
+            self._changed.wait(min(remaining, POLL_INTERVAL_SECONDS))
 
 
 def _refuse(candidates: list[Candidate], ahead: int, limit: int, retry_after: float) -> None:
     if not candidates:
-        raise RefusedError(Code.NO_UPSTREAM, "no upstream can take this now", retry_after)
+        raise RefusedError(Code.NO_UPSTREAM, "no upstream can take this request now", retry_after)
     if ahead >= limit:
-        raise RefusedError(Code.OVERLOADED, f"{ahead} requests wait already", retry_after)
+        raise RefusedError(Code.OVERLOADED, f"{ahead} requests already wait", retry_after)
     raise RefusedError(
-        Code.DEADLINE_UNREACHABLE, "the answer would come after the deadline", retry_after
+        Code.DEADLINE_UNREACHABLE, "the response would come after the deadline", retry_after
     )
--- a/src/swifttrestle/internal/entry/attempts.py
+++ b/src/swifttrestle/internal/entry/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one request at upstreams: choose, count, call, and learn from the outcome."""
+"""Attempts of requests at upstreams: selection, accounting, the call and its outcome."""
 
 import itertools
 import random
@@ -19,21 +19,21 @@
 )
 from swifttrestle.internal.state.upstreams import UpstreamRequirements, UpstreamTable, excluding
 
-FIRST_TOKEN_SECONDS = 30.0
-LEAST_WAIT_SECONDS = 0.2
+FIRST_TOKEN_TIMEOUT_SECONDS = 30.0
+MIN_FIRST_TOKEN_TIMEOUT_SECONDS = 0.2
 
 
 @dataclass(frozen=True)
 class Target:
-    """An upstream that a request has been counted on."""
+    """An upstream that was selected for a request and counts it as open."""
 
     candidate: Candidate
-    uncached: float
+    uncached_tokens: float
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """One attempt that has begun to stream."""
+    """An attempt whose stream has begun."""
 
     upstream: str
     address: str
@@ -41,11 +41,11 @@
     stream: OpenStream
     selection: UpstreamRequirements
     work: RequestEstimate
-    began: float
+    started_at: float
 
 
 class Attempts:
-    """Makes attempts for all requests of one entry."""
+    """Makes the attempts of all requests of one entry."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         connect_seconds: float,
         name: str,
     ) -> None:
-        """Choose with a router; engine-side ids start with this process's name and start."""
+        """Select with `router`; request ids start with the process's name and start time."""
         self.guard = guard
         self._table = table
         self._router = router
@@ -68,24 +68,25 @@
         self._connect_seconds = connect_seconds
         self._prefix = f"{name}.{time.time_ns():x}"
         self._numbers = itertools.count(1)
-        self.ended = threading.Event()
+        # Set when the last request on a closed upstream has ended.
+        self.closed_upstream_idle = threading.Event()
 
     def make_id(self) -> str:
-        """Return an id that no other request of any process has."""
+        """Return a request id that is unique over all processes."""
         return f"{self._prefix}.{next(self._numbers)}"
 
-    def take(self, available: tuple[Candidate, ...], work: RequestEstimate) -> Target | None:
-        """Choose one of the candidates and count the request on it."""
-        left = list(available)
-        while left:
+    def select(self, candidates: tuple[Candidate, ...], work: RequestEstimate) -> Target | None:
+        """Select one of the candidates and count the request on it; return None if none is left."""
+        remaining = list(candidates)
+        while remaining:
             with self._lock:
-                chosen = self._router.pick(left, work, self._rng)
+                chosen = self._router.pick(remaining, work, self._rng)
             if chosen is None:
                 return None
-            uncached = max(1, work.prompt_tokens - chosen.cached_tokens)
-            if self._table.begin(chosen.name, uncached):
-                return Target(chosen, uncached)
-            left.remove(chosen)
+            uncached_tokens = max(1, work.prompt_tokens - chosen.cached_tokens)
+            if self._table.begin(chosen.name, uncached_tokens):
+                return Target(chosen, uncached_tokens)
+            remaining.remove(chosen)
         return None
 
     def open(
@@ -94,14 +95,14 @@
         call: EngineCall,
         selection: UpstreamRequirements,
         work: RequestEstimate,
-        seconds: float = FIRST_TOKEN_SECONDS,
+        seconds: float = FIRST_TOKEN_TIMEOUT_SECONDS,
     ) -> Attempt:
-        """Call the chosen engine and wait so long for its first token, 30 s at most.
+        """Call the selected engine and wait `seconds` for its first token, 30 s at most.
 
-        Raises UpstreamError, after which the request is not counted on the engine any more.
+        Raises UpstreamError; the request is then no longer counted on the engine.
         """
         name = target.candidate.name
-        began = read_boottime_seconds()
+        started_at = read_boottime_seconds()
         try:
             address = self._table.address(name)
             pinned = replace(call, version=call.version or self._table.version(name))
@@ -109,8 +110,10 @@
                 pinned = replace(
                     pinned, kv_from=self._prefill(target.candidate.prefill_engine, pinned)
                 )
-            bound = min(FIRST_TOKEN_SECONDS, max(LEAST_WAIT_SECONDS, seconds))
-            stream = open_stream(address, pinned, self._connect_seconds, bound)
+            timeout = min(
+                FIRST_TOKEN_TIMEOUT_SECONDS, max(MIN_FIRST_TOKEN_TIMEOUT_SECONDS, seconds)
+            )
+            stream = open_stream(address, pinned, self._connect_seconds, timeout)
         except UpstreamError as error:
             self._table.end(name)
             self.note_failure(name, error)
@@ -119,18 +122,20 @@
         except BaseException:
             self._table.end(name)
             raise
-        before = target.candidate.waiting_tokens + target.uncached
-        self._table.note_first_token(name, before, read_boottime_seconds() - began)
+        tokens_ahead = target.candidate.waiting_tokens + target.uncached_tokens
+        self._table.note_first_token(name, tokens_ahead, read_boottime_seconds() - started_at)
         self._table.prefixes.note_stored(target.candidate.prefill_engine or name, selection.blocks)
         return Attempt(name, address, pinned, stream, selection, work, read_boottime_seconds())
 
     def _prefill(self, engine: str, call: EngineCall) -> dict[str, str]:
-        """Have another engine prefill; it is counted on that engine meanwhile."""
+        """Run the prefill on another engine, which counts it as open meanwhile."""
         if not self._table.begin(engine, call.offset + 1):
-            raise UpstreamLeavingError(f"{engine} takes no new work")
+            raise UpstreamLeavingError(f"{engine} accepts no new requests")
         try:
             address = self._table.address(engine)
-            handle = start_prefill(address, call, self._connect_seconds, FIRST_TOKEN_SECONDS)
+            handle = start_prefill(
+                address, call, self._connect_seconds, FIRST_TOKEN_TIMEOUT_SECONDS
+            )
         except UpstreamError as error:
             self.note_failure(engine, error)
             self.guard.note_failure(call.request_id, engine, address, error)
@@ -140,7 +145,7 @@
         return {"address": address, "handle": handle}
 
     def note_failure(self, name: str, error: UpstreamError) -> None:
-        """Learn from a failed call: broken counts towards ejection, busy never does."""
+        """Record a failed call: failures count towards ejection, refusals for load do not."""
         self._metrics.count("upstream_failures_total", reason=error.code.name)
         if isinstance(error, UpstreamLeavingError):
             self._table.note_refusal(name)
@@ -148,23 +153,23 @@
             self._metrics.count("ejections_total")
 
     def end(self, attempt: Attempt, tokens: int, failed: bool) -> None:
-        """Count an attempt's end."""
+        """Record the end of an attempt."""
         last_on_closed = self._table.end(attempt.upstream)
         if failed:
             self._table.note_failure(attempt.upstream)
         else:
-            seconds = read_boottime_seconds() - attempt.began
+            seconds = read_boottime_seconds() - attempt.started_at
             self._table.note_decode(attempt.upstream, tokens, seconds)
         if last_on_closed:
-            self.ended.set()
+            self.closed_upstream_idle.set()
 
     def resume(self, attempt: Attempt, offset: int, failed: list[str]) -> Attempt:
-        """Open the rest of an answer on another engine with the same version."""
+        """Open the rest of a response on another engine with the same model version."""
         selection = replace(attempt.selection, version=attempt.call.version)
-        wanted = excluding(selection, failed)
-        candidates = tuple(self._table.candidates(wanted))
-        target = self.take(candidates, attempt.work)
+        remaining = excluding(selection, failed)
+        candidates = tuple(self._table.candidates(remaining))
+        target = self.select(candidates, attempt.work)
         if target is None:
-            raise UpstreamLeavingError("no other engine holds this version now")
+            raise UpstreamLeavingError("no other engine holds this model version")
         call = replace(attempt.call, attempt=attempt.call.attempt + 1, offset=offset, kv_from=None)
         return self.open(target, call, selection, attempt.work)
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -1,7 +1,7 @@
-"""Keeps requests that crash upstreams from the others, at one entry.
+"""Quarantines requests that crash upstreams, at one entry.
 
-The policy is that of the hosts on the platform. What an entry knows it keeps to itself: a request
-may crash as many upstreams at each entry, and again after the entry's restart.
+The policy is that of the gateways. The state is local to the entry: each entry counts crashes on
+its own, and starts anew after a restart.
 """
 
 import socket
@@ -18,37 +18,35 @@
 from swifttrestle.internal.state.crash_records import Crash
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint, digest_parts
 
-# Seconds in which the look at an upstream's address must be answered.
-LOOK_SECONDS = 0.3
-# Looks at an address that still takes connections, and the seconds between two: a process that
-# ends closes its connections and its port one after the other, on a busy machine some milliseconds
-# apart. With a single look the scenario of a deadly request failed 8 times of 21 beside other work.
-LOOKS = 4
-LOOK_PAUSE_SECONDS = 0.02
+PROBE_TIMEOUT_SECONDS = 0.3
+# An exiting process closes its connections some milliseconds before its port, so an address that
+# still accepts connections is probed again.
+MAX_PROBES = 4
+PROBE_INTERVAL_SECONDS = 0.02
 
 
-def name_call(workspace: str, path: str, body: bytes) -> RequestFingerprint:
-    """Return the name of a request: who sends it, where to, and what."""
+def make_fingerprint(workspace: str, path: str, body: bytes) -> RequestFingerprint:
+    """Return the fingerprint of a request: digests of its workspace, path and body."""
     return RequestFingerprint(
         digest_parts((workspace.encode(), path.encode())), digest_parts((body,))
     )
 
 
 class EntryCrashGuard:
-    """Looks at the requests in work, by their ids; called from any thread."""
+    """Counts crashes against open requests and refuses quarantined ones; thread-safe."""
 
-    def __init__(self, clock: Clock, metrics: Metrics, late_share: float) -> None:
-        """Let requests go late by this share of the spread, from 0 to 1."""
+    def __init__(self, clock: Clock, metrics: Metrics, jitter_share: float) -> None:
+        """Lengthen quarantines by this share of the largest jitter, from 0 to 1."""
         self._clock = clock
         self._metrics = metrics
-        self._quarantine = Quarantine(late_share)
-        self._names: dict[str, RequestFingerprint] = {}
+        self._quarantine = Quarantine(jitter_share)
+        self._fingerprints: dict[str, RequestFingerprint] = {}
         self._lock = threading.Lock()
 
-    def begin(self, request_id: str, name: RequestFingerprint) -> None:
-        """Keep the name of a request in work; raise RefusedError where it is kept back."""
+    def begin(self, request_id: str, fingerprint: RequestFingerprint) -> None:
+        """Track an open request; raise RefusedError if it is quarantined."""
         with self._lock:
-            self._names[request_id] = name
+            self._fingerprints[request_id] = fingerprint
         try:
             self.check(request_id)
         except RefusedError:
@@ -56,56 +54,60 @@
             raise
 
     def check(self, request_id: str) -> None:
-        """Raise RefusedError for a request that is kept from upstreams."""
+        """Raise RefusedError if a request is quarantined."""
         with self._lock:
-            name = self._names.get(request_id)
-            wait = self._quarantine.find_wait(name, self._clock.now()) if name else 0.0
+            fingerprint = self._fingerprints.get(request_id)
+            wait = (
+                self._quarantine.find_wait(fingerprint, self._clock.now()) if fingerprint else 0.0
+            )
         if wait:
             self._metrics.count("quarantine_refusals_total")
-            message = "upstreams crashed under this request"
+            message = "upstreams crashed while they processed this request"
             raise RefusedError(Code.QUARANTINED, message, wait)
 
     def note_failure(
         self, request_id: str, upstream: str, address: str, error: UpstreamError
     ) -> None:
-        """Count a crash against a request where its upstream listens no more."""
-        sent = isinstance(error, UpstreamBrokenError) and error.sent
-        if not sent or not is_refused(address):
+        """Count a crash against a request whose upstream no longer listens."""
+        was_sent = isinstance(error, UpstreamBrokenError) and error.sent
+        if not was_sent or not is_port_closed(address):
             return
         now = self._clock.now()
         with self._lock:
-            name = self._names.get(request_id)
-            news = name is not None and self._quarantine.note(name, [Crash(upstream, now)], now)
-        if news:
+            fingerprint = self._fingerprints.get(request_id)
+            is_new = fingerprint is not None and self._quarantine.note(
+                fingerprint, [Crash(upstream, now)], now
+            )
+        if is_new:
             self._metrics.count("upstream_crashes_total")
-            log_info("upstream crashed under a request", upstream=upstream, name=str(name))
+            log_info("upstream crashed during a request", upstream=upstream, name=str(fingerprint))
 
     def end(self, request_id: str, answered: bool) -> None:
-        """Forget the id; where the request was answered, also what was held against it."""
+        """Stop tracking a request; a response also clears the crashes counted against it."""
         with self._lock:
-            name = self._names.pop(request_id, None)
-            if answered and name is not None:
-                self._quarantine.clear_crashes(name, self._clock.now())
+            fingerprint = self._fingerprints.pop(request_id, None)
+            if answered and fingerprint is not None:
+                self._quarantine.clear_crashes(fingerprint, self._clock.now())
 
-    def list_names(self) -> list[str]:
-        """Return the quarantined requests, for the state dump."""
+    def list_quarantined(self) -> list[str]:
+        """Return the fingerprints of quarantined requests, for the state dump."""
         with self._lock:
-            return [str(case.name) for case in self._quarantine.list_quarantined()]
+            return [str(record.name) for record in self._quarantine.list_quarantined()]
 
 
-def is_refused(address: str) -> bool:
-    """Return whether nobody listens at an address, given as HOST:PORT, or soon nobody does."""
-    for look in range(LOOKS):
-        if look:
-            time.sleep(LOOK_PAUSE_SECONDS)
-        if _is_refused_now(address):
+def is_port_closed(address: str) -> bool:
+    """Return whether one of a few connections to HOST:PORT is refused."""
+    for probe in range(MAX_PROBES):
+        if probe:
+            time.sleep(PROBE_INTERVAL_SECONDS)
+        if _refuses_connection(address):
             return True
     return False
 
 
-def _is_refused_now(address: str) -> bool:
+def _refuses_connection(address: str) -> bool:
     try:
-        socket.create_connection(parse_address(address), LOOK_SECONDS).close()
+        socket.create_connection(parse_address(address), PROBE_TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/src/swifttrestle/internal/entry/serving.py
+++ b/src/swifttrestle/internal/entry/handler.py
@@ -1,4 +1,4 @@
-"""What callers meet: who calls, what for, and the way of each request to its answer."""
+"""Handles callers' requests: authentication, admission, attempts at upstreams and the response."""
 
 import hashlib
 import threading
@@ -9,17 +9,22 @@
 from swifttrestle.codes import TABLE, Code
 from swifttrestle.errors import CallerGoneError, RefusedError, UpstreamBusyError, UpstreamError
 from swifttrestle.internal.clock import read_boottime_seconds
-from swifttrestle.internal.entry.answers import (
-    CallerAnswer,
-    make_error_body,
-    make_error_headers,
-)
+from swifttrestle.internal.entry.admission_queue import AdmissionRequest, BlockingAdmissionQueue
 from swifttrestle.internal.entry.attempts import Attempt, Attempts, Target
-from swifttrestle.internal.entry.crash_guard import name_call
+from swifttrestle.internal.entry.crash_guard import make_fingerprint
 from swifttrestle.internal.entry.idempotency import IdempotencyRecords
 from swifttrestle.internal.entry.relay import Relay, RelayParts
-from swifttrestle.internal.entry.requests import Completion, Terms, read_completion, read_terms
-from swifttrestle.internal.entry.waiting import AdmissionRequest, BlockingAdmissionQueue
+from swifttrestle.internal.entry.requests import (
+    Completion,
+    RequestTerms,
+    read_completion,
+    read_terms,
+)
+from swifttrestle.internal.entry.responses import (
+    CallerResponse,
+    make_error_body,
+    make_error_headers,
+)
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.admission import DeadlineAdmission
 from swifttrestle.internal.policy.retry_budget import RetryBudget
@@ -32,50 +37,52 @@
 from swifttrestle.internal.transport.http import Exchange, Handler
 from swifttrestle.resources import ResourceSet, Service
 
-NORMAL_SHARE = 0.6
-SPARE_THREADS = 4
+# Share of the worker threads that requests which are not urgent may occupy while they wait.
+NON_URGENT_THREAD_SHARE = 0.6
+# Worker threads that waiting requests never occupy.
+RESERVED_THREADS = 4
 T = TypeVar("T")
 
 
 class EntryHandler(Handler):
-    """Answers callers' requests; called in the HTTP server's worker threads."""
+    """Handles callers' requests in the HTTP server's worker threads."""
 
     def __init__(
         self,
         *,
         config: ConfigStore,
         table: UpstreamTable,
-        line: BlockingAdmissionQueue,
-        parts: RelayParts,
+        queue: BlockingAdmissionQueue,
+        relay_parts: RelayParts,
         claims: IdempotencyRecords,
         metrics: Metrics,
         threads: int,
         max_streams: int,
         connect_seconds: float,
     ) -> None:
-        """Serve with so many worker threads and at most so many open streams."""
+        """Serve with `threads` worker threads and at most `max_streams` open requests."""
         self._config = config
         self._table = table
-        self._queue = line
-        self._parts = parts
-        self._attempts: Attempts = parts.attempts
-        self._guard = parts.attempts.guard
+        self._queue = queue
+        self._relay_parts = relay_parts
+        self._attempts: Attempts = relay_parts.attempts
+        self._guard = relay_parts.attempts.guard
         self._claims = claims
         self._metrics = metrics
         self._threads = threads
         self._max_streams = max_streams
         self._connect_seconds = connect_seconds
         self._lock = threading.Lock()
-        self._held = 0
-        self._keys: dict[str, str] = {}
+        self._waiting_threads = 0
+        self._workspace_by_digest: dict[str, str] = {}
         self._budget = RetryBudget(config.current.policy.retry_ratio)
         self.open_requests = 0
         self.stopping = False
-        self.idle = threading.Condition(self._lock)
+        self.request_ended = threading.Condition(self._lock)
         config.subscribe(self._configure)
 
     def _configure(self, current: ResourceSet) -> None:
-        self._keys = {
+        self._workspace_by_digest = {
             digest: workspace.name
             for workspace in current.workspaces.values()
             for digest in workspace.key_sha256
@@ -85,30 +92,30 @@
         self._queue.notify()
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request, or refuse it with a numbered code."""
+        """Respond to one request, or refuse it with a result code."""
         match (exchange.method, exchange.path):
             case ("GET", "/healthz"):
                 exchange.reply_json(200, {"ok": True})
             case ("GET", "/readyz"):
-                ready = bool(self._keys) and not self.stopping
+                ready = bool(self._workspace_by_digest) and not self.stopping
                 exchange.reply_json(200 if ready else 503, {"ready": ready})
             case _:
-                self._answer(exchange)
+                self._serve(exchange)
 
-    def _answer(self, exchange: Exchange) -> None:
+    def _serve(self, exchange: Exchange) -> None:
         try:
-            self._enter()
+            self._begin_request()
         except RefusedError as error:
             self._refuse(exchange, error)
             return
-        handed = False
+        handed_over = False
         try:
-            handed = self._route(exchange)
+            handed_over = self._route(exchange)
         except RefusedError as error:
             self._refuse(exchange, error)
         finally:
-            if not handed:
-                self._leave()
+            if not handed_over:
+                self._end_request()
 
     def _refuse(self, exchange: Exchange, error: RefusedError) -> None:
         exchange.discard_body()
@@ -116,7 +123,7 @@
         body = make_error_body(error, exchange.header("X-Request-Id"))
         exchange.reply_json(TABLE[error.code].status, body, make_error_headers(error))
 
-    def _enter(self) -> None:
+    def _begin_request(self) -> None:
         with self._lock:
             if self.stopping:
                 raise RefusedError(Code.STOPPING, "this entry is stopping", 0)
@@ -124,15 +131,15 @@
                 raise RefusedError(Code.OVERLOADED, "too many open streams", 1)
             self.open_requests += 1
 
-    def _leave(self) -> None:
+    def _end_request(self) -> None:
         with self._lock:
             self.open_requests -= 1
-            self.idle.notify_all()
+            self.request_ended.notify_all()
 
     def _route(self, exchange: Exchange) -> bool:
-        """Return whether the request's end is left to a relay."""
-        parts = exchange.path.strip("/").split("/")
-        match (exchange.method, parts):
+        """Serve a request by its path; return whether it was handed over to a relay."""
+        segments = exchange.path.strip("/").split("/")
+        match (exchange.method, segments):
             case ("POST", ["v1", "chat", "completions"]):
                 return self._complete(exchange, chat=True)
             case ("POST", ["v1", "completions"]):
@@ -142,12 +149,13 @@
                 return False
         raise RefusedError(Code.BAD_REQUEST, "no such path; see docs/API.md")
 
-    def _find_workspace(self, exchange: Exchange) -> str:
-        if not self._keys:
+    def _authenticate(self, exchange: Exchange) -> str:
+        """Return the workspace of the request's key; raise RefusedError."""
+        if not self._workspace_by_digest:
             raise RefusedError(Code.NOT_CONFIGURED, "no configuration is in force yet", 1)
         scheme, _, key = exchange.header("Authorization").partition(" ")
         digest = hashlib.sha256(key.strip().encode()).hexdigest()
-        workspace = self._keys.get(digest)
+        workspace = self._workspace_by_digest.get(digest)
         if scheme.lower() != "bearer" or workspace is None:
             raise RefusedError(Code.UNKNOWN_KEY, "send Authorization: Bearer KEY")
         return workspace
@@ -156,47 +164,49 @@
         service = self._config.current.services.get(name)
         allowed = service and (not service.workspaces or workspace in service.workspaces)
         if service is None or not allowed or service.type != kind:
-            raise RefusedError(Code.UNKNOWN_SERVICE, f"no {kind} service {name[:60]!r} for you")
+            raise RefusedError(
+                Code.UNKNOWN_SERVICE, f"no {kind} service {name[:60]!r} is open to this workspace"
+            )
         return service
 
     # Completions.
 
     def _complete(self, exchange: Exchange, chat: bool) -> bool:
         started = read_boottime_seconds()
-        workspace = self._find_workspace(exchange)
+        workspace = self._authenticate(exchange)
         body = exchange.read_body()
-        asked = read_completion(body, chat)
-        service = self._find_service(asked.service, "model", workspace)
+        completion = read_completion(body, chat)
+        service = self._find_service(completion.service, "model", workspace)
         terms = read_terms(exchange, service, workspace, started)
-        work, selection = self._describe(asked, service, terms)
-        call = self._make_call(asked, service, terms, work)
-        name = name_call(workspace, exchange.path, body)
-        watched = self._watch(call.request_id, name)
-        with watched, self._claim(service, terms), _Hold(self, terms.priority):
+        work, selection = self._plan(completion, service, terms)
+        call = self._make_call(completion, service, terms, work)
+        fingerprint = make_fingerprint(workspace, exchange.path, body)
+        tracked = self._track(call.request_id, fingerprint)
+        with tracked, self._claim(service, terms), _WaitingThread(self, terms.priority):
             attempt = self._open_first(call, selection, work, terms)
         self._metrics.count("accepted_total", service=service.name)
-        answer = CallerAnswer(
-            exchange.detach_socket(), call.request_id, terms.caller_id, asked.stream
+        answer = CallerResponse(
+            exchange.detach_socket(), call.request_id, terms.caller_id, completion.stream
         )
         Relay(
-            self._parts, answer, attempt, terms.repeatable,
+            self._relay_parts, answer, attempt, terms.repeatable,
             self._make_done(service, terms, call.request_id),
         ).start()  # fmt: skip
         return True
 
-    def _describe(
-        self, asked: Completion, service: Service, terms: Terms
+    def _plan(
+        self, completion: Completion, service: Service, terms: RequestTerms
     ) -> tuple[RequestEstimate, UpstreamRequirements]:
-        blocks = split_blocks(asked.prompt)
-        prompt_tokens = count_tokens(asked.prompt)
-        limit = min(asked.max_tokens or service.max_tokens, service.max_tokens)
+        blocks = split_blocks(completion.prompt)
+        prompt_tokens = count_tokens(completion.prompt)
+        max_tokens = min(completion.max_tokens or service.max_tokens, service.max_tokens)
         return (
-            RequestEstimate(prompt_tokens, limit, terms.priority),
+            RequestEstimate(prompt_tokens, max_tokens, terms.priority),
             UpstreamRequirements(service, prompt_tokens, blocks),
         )
 
     def _make_call(
-        self, asked: Completion, service: Service, terms: Terms, work: RequestEstimate
+        self, completion: Completion, service: Service, terms: RequestTerms, work: RequestEstimate
     ) -> EngineCall:
         return EngineCall(
             request_id=self._attempts.make_id(),
@@ -206,31 +216,35 @@
             model=service.model,
             version="",
             adapter=self._table.adapter_label(service),
-            prompt=asked.prompt,
+            prompt=completion.prompt,
             priority=terms.priority,
         )
 
     def _open_first(
-        self, call: EngineCall, selection: UpstreamRequirements, work: RequestEstimate, terms: Terms
+        self,
+        call: EngineCall,
+        selection: UpstreamRequirements,
+        work: RequestEstimate,
+        terms: RequestTerms,
     ) -> Attempt:
-        """Wait for room and open a stream; a refusal or a loss may be tried again."""
+        """Wait for capacity and open a stream, with retries."""
 
-        def try_open(target: Target, number: int) -> Attempt:
-            numbered = EngineCall(**{**vars(call), "attempt": number})
-            left = terms.left(read_boottime_seconds())
-            return self._attempts.open(target, numbered, selection, work, left)
+        def open_stream(target: Target, number: int) -> Attempt:
+            numbered_call = EngineCall(**{**vars(call), "attempt": number})
+            remaining = terms.remaining(read_boottime_seconds())
+            return self._attempts.open(target, numbered_call, selection, work, remaining)
 
-        return self._try(call.request_id, selection, work, terms, try_open)
+        return self._attempt_with_retries(call.request_id, selection, work, terms, open_stream)
 
-    def _try(
+    def _attempt_with_retries(
         self,
         request_id: str,
         selection: UpstreamRequirements,
         work: RequestEstimate,
-        terms: Terms,
+        terms: RequestTerms,
         attempt: Callable[[Target, int], T],
     ) -> T:
-        """Make attempts within the deadline, the budget and what may be repeated."""
+        """Make attempts until one succeeds, the deadline or budget ends, or it may not repeat."""
         policy = self._config.current.policy
         self._budget.note_request(read_boottime_seconds())
         failed: list[str] = []
@@ -242,58 +256,58 @@
                 self._guard.check(request_id)
                 target = self._admit(selection, work, terms, failed)
             except RefusedError as refusal:
-                raise _temper(refusal, lost) from None
+                raise _note_lost_attempt(refusal, lost) from None
             try:
                 return attempt(target, number)
             except UpstreamError as error:
                 failed.append(target.candidate.name)
                 lost = error if error.sent else lost
-                last = number >= policy.attempts or (lost and not terms.repeatable)
-                if last or not self._budget.take(read_boottime_seconds()):
-                    raise _temper(_make_final(error), lost) from None
+                is_last = number >= policy.attempts or (lost and not terms.repeatable)
+                if is_last or not self._budget.take(read_boottime_seconds()):
+                    raise _note_lost_attempt(_refuse_after_attempts(error), lost) from None
                 self._metrics.count("retries_total", reason=error.code.name)
 
     def _admit(
         self,
         selection: UpstreamRequirements,
         work: RequestEstimate,
-        terms: Terms,
+        terms: RequestTerms,
         failed: list[str],
     ) -> Target:
         policy = self._config.current.policy
-        wanted = excluding(selection, failed)
-        taken: list[Target] = []
+        untried = excluding(selection, failed)
+        targets: list[Target] = []
 
-        def take(available: tuple) -> bool:
-            target = self._attempts.take(available, work)
+        def take(candidates: tuple) -> bool:
+            target = self._attempts.select(candidates, work)
             if target is not None:
-                taken.append(target)
+                targets.append(target)
             return target is not None
 
         limit = policy.queue_limit * (2 if terms.priority == URGENT else 1)
-        request_for_room = AdmissionRequest(
+        admission_request = AdmissionRequest(
             terms,
             work,
             DeadlineAdmission(policy.urgent_reserve),
             limit,
-            find=lambda: self._table.candidates(wanted) or self._table.candidates(selection),
+            find=lambda: self._table.candidates(untried) or self._table.candidates(selection),
             take=take,
         )
-        self._queue.admit(selection.service.model or selection.service.name, request_for_room)
-        return taken[0]
+        self._queue.admit(selection.service.model or selection.service.name, admission_request)
+        return targets[0]
 
     def _make_done(
-        self, service: Service, terms: Terms, request_id: str
+        self, service: Service, terms: RequestTerms, request_id: str
     ) -> Callable[[RefusedError | CallerGoneError | None], None]:
         def done(error: RefusedError | CallerGoneError | None) -> None:
             self._guard.end(request_id, answered=error is None)
             outcome = "whole" if error is None else error.code.name
-            in_time = "yes" if terms.left(read_boottime_seconds()) >= 0 else "no"
+            in_time = "yes" if terms.remaining(read_boottime_seconds()) >= 0 else "no"
             self._metrics.count(
                 "ended_total", service=service.name, outcome=outcome, in_time=in_time
             )
             self._queue.notify()
-            self._leave()
+            self._end_request()
 
         return done
 
@@ -301,7 +315,7 @@
 
     def _call_service(self, exchange: Exchange, name: str, path: str) -> None:
         started = read_boottime_seconds()
-        workspace = self._find_workspace(exchange)
+        workspace = self._authenticate(exchange)
         service = self._find_service(name, "plain", workspace)
         body = exchange.read_body()
         terms = read_terms(exchange, service, workspace, started)
@@ -310,7 +324,7 @@
         work = RequestEstimate(1, 1, terms.priority)
 
         def try_call(target: Target, number: int) -> PlainAnswer:
-            left = max(0.05, terms.left(read_boottime_seconds()))
+            remaining = max(0.05, terms.remaining(read_boottime_seconds()))
             headers = {"X-Request-Id": terms.caller_id or request_id}
             headers["X-Attempt"] = str(number)
             upstream = target.candidate.name
@@ -318,7 +332,7 @@
             try:
                 answer = call_plain(
                     address, path, body, headers,
-                    connect_seconds=min(left, self._connect_seconds), seconds=left,
+                    connect_seconds=min(remaining, self._connect_seconds), seconds=remaining,
                 )  # fmt: skip
             except UpstreamError as error:
                 self._attempts.note_failure(upstream, error)
@@ -329,9 +343,9 @@
                 self._queue.notify()
             return answer
 
-        watched = self._watch(request_id, name_call(workspace, exchange.path, body))
-        with watched, self._claim(service, terms), _Hold(self, terms.priority):
-            answer = self._try(request_id, selection, work, terms, try_call)
+        tracked = self._track(request_id, make_fingerprint(workspace, exchange.path, body))
+        with tracked, self._claim(service, terms), _WaitingThread(self, terms.priority):
+            answer = self._attempt_with_retries(request_id, selection, work, terms, try_call)
         self._guard.end(request_id, answered=True)
         self._metrics.count("accepted_total", service=name)
         self._metrics.count("ended_total", service=name, outcome="whole", in_time="yes")
@@ -339,60 +353,60 @@
         exchange.reply(answer.status, answer.body, answer.content_type, ids)
 
     @contextmanager
-    def _watch(self, request_id: str, name: RequestFingerprint) -> Iterator[None]:
-        """Have the guard know the request; where it fails, its id is forgotten."""
-        self._guard.begin(request_id, name)
+    def _track(self, request_id: str, fingerprint: RequestFingerprint) -> Iterator[None]:
+        """Have the crash guard track the request, no longer if the body raises."""
+        self._guard.begin(request_id, fingerprint)
         try:
             yield
         except BaseException:
             self._guard.end(request_id, answered=False)
             raise
 
-    def _claim(self, service: Service, terms: Terms) -> AbstractContextManager[None]:
+    def _claim(self, service: Service, terms: RequestTerms) -> AbstractContextManager[None]:
         if terms.repeatable or not terms.caller_id:
             return nullcontext()
         return self._claims.hold(service, terms.workspace, terms.caller_id)
 
-    # Threads: a request that waits, or has no first token yet, holds one.
+    # A request occupies a worker thread until it has its first token.
 
-    def hold_thread(self, priority: str) -> None:
-        """Count a held thread; refuse where too few would be left for what is more urgent."""
-        most = self._threads - SPARE_THREADS
+    def acquire_thread(self, priority: str) -> None:
+        """Count a waiting thread; refuse if too few would be left for more urgent requests."""
+        limit = self._threads - RESERVED_THREADS
         if priority != URGENT:
-            most = int(self._threads * NORMAL_SHARE)
+            limit = int(self._threads * NON_URGENT_THREAD_SHARE)
         with self._lock:
-            if self._held >= most:
+            if self._waiting_threads >= limit:
                 raise RefusedError(Code.OVERLOADED, "too many requests wait", 1)
-            self._held += 1
+            self._waiting_threads += 1
 
     def release_thread(self) -> None:
-        """Count a thread that is free again."""
+        """Count a waiting thread less."""
         with self._lock:
-            self._held -= 1
+            self._waiting_threads -= 1
 
 
-class _Hold:
-    """Holds one of the handler's threads for as long as a request waits."""
+class _WaitingThread:
+    """Counts the current thread as waiting within a `with` block."""
 
     def __init__(self, handler: EntryHandler, priority: str) -> None:
         self._handler = handler
         self._priority = priority
 
     def __enter__(self) -> None:
-        self._handler.hold_thread(self._priority)
+        self._handler.acquire_thread(self._priority)
 
     def __exit__(self, *_: object) -> None:
         self._handler.release_thread()
 
 
-def _temper(refusal: RefusedError, lost: UpstreamError | None) -> RefusedError:
-    """Return the refusal, or "may have run" where an earlier attempt was lost on its way."""
+def _note_lost_attempt(refusal: RefusedError, lost: UpstreamError | None) -> RefusedError:
+    """Return the refusal, or ANSWER_LOST if an earlier attempt may have run."""
     if lost is None:
         return refusal
     return RefusedError(Code.ANSWER_LOST, f"an attempt was lost: {lost}; then {refusal.message}")
 
 
-def _make_final(error: UpstreamError) -> RefusedError:
-    """Return what a caller is told when no further attempt is made."""
+def _refuse_after_attempts(error: UpstreamError) -> RefusedError:
+    """Return the refusal of a request whose last attempt failed."""
     code = Code.OVERLOADED if isinstance(error, UpstreamBusyError) else Code.UPSTREAM_REFUSED
     return RefusedError(code, f"the last attempt was refused: {error}", error.retry_after or 1.0)
--- a/src/swifttrestle/internal/entry/idempotency.py
+++ b/src/swifttrestle/internal/entry/idempotency.py
@@ -1,9 +1,8 @@
-"""Ids of calls that may not be repeated: taken once, by this entry or by the platform.
+"""Records the ids of calls that must not run twice.
 
-An entry's own memory refuses a repeat that comes through the same entry within ten
-minutes. Where a service asks for it, the id is noted in the platform instead, which holds
-over all entries and restarts and costs one write a call; without the platform such a call
-is then refused, since running it twice would be worse than not running it.
+An entry keeps ids in memory and refuses a repeated id for ten minutes. Services may have their
+ids recorded in the platform instead, which covers all entries and restarts and costs one write
+per call. Such calls are refused while the platform is unavailable.
 """
 
 import contextlib
@@ -25,58 +24,57 @@
 from swifttrestle.resources import Service
 
 CLAIM = "Claim"
-KEEP_SECONDS = 600.0
-KEEP_MOST = 200_000
+RETENTION_SECONDS = 600.0
+MAX_RECORDS = 200_000
 
 
 class IdempotencyRecords:
-    """The ids taken so far."""
+    """The ids of calls that this entry has accepted."""
 
     def __init__(self, api: ObjectApi, owner: str) -> None:
-        """Write platform claims in the name of an entry."""
+        """Write claims to the platform as `owner`, the entry's name."""
         self._api = api
         self._owner = owner
         self._lock = threading.Lock()
-        self._taken: OrderedDict[str, float] = OrderedDict()
+        self._recorded_at: OrderedDict[str, float] = OrderedDict()
 
     @contextlib.contextmanager
     def hold(self, service: Service, workspace: str, caller_id: str) -> Iterator[None]:
-        """Take an id for a call; raise RefusedError where it was taken before.
+        """Record the id of a call; raise RefusedError if it is already recorded.
 
-        A call that ends as "not run" gives its id back, since its caller is told to come
-        again; any other end keeps it.
+        If the call ends as "not run", its id is removed, so that the caller can retry.
         """
         key = f"{workspace}.{service.name}.{caller_id}"
-        self._claim_here(key)
-        version = self._claim_everywhere(key) if service.claim == "platform" else 0
+        self._claim_in_memory(key)
+        version = self._claim_in_platform(key) if service.claim == "platform" else 0
         try:
             yield
         except RefusedError as error:
             if error.ran is Ran.NOT_RUN:
-                self._give_back(key, version)
+                self._release(key, version)
             raise
 
-    def _claim_here(self, key: str) -> None:
+    def _claim_in_memory(self, key: str) -> None:
         now = read_boottime_seconds()
         with self._lock:
-            while self._taken:
-                oldest, at = next(iter(self._taken.items()))
-                if now - at < KEEP_SECONDS and len(self._taken) < KEEP_MOST:
+            while self._recorded_at:
+                oldest, at = next(iter(self._recorded_at.items()))
+                if now - at < RETENTION_SECONDS and len(self._recorded_at) < MAX_RECORDS:
                     break
-                del self._taken[oldest]
-            if key in self._taken:
+                del self._recorded_at[oldest]
+            if key in self._recorded_at:
                 raise _repeated(key)
-            self._taken[key] = now
+            self._recorded_at[key] = now
 
-    def _give_back(self, key: str, version: int) -> None:
-        """Forget an id; one that stays in the platform for an outage refuses, never repeats."""
+    def _release(self, key: str, version: int) -> None:
+        """Remove an id; if the platform is unavailable, the id stays there and is refused."""
         with self._lock:
-            self._taken.pop(key, None)
+            self._recorded_at.pop(key, None)
         if version:
             with contextlib.suppress(PlatformUnavailableError, ConflictError, NotFoundError):
                 self._api.delete(CLAIM, key, version)
 
-    def _claim_everywhere(self, key: str) -> int:
+    def _claim_in_platform(self, key: str) -> int:
         try:
             stored = write_once(self._api, CLAIM, key, {"owner": self._owner, "at": time.time()}, 0)
             return stored.version
@@ -84,10 +82,10 @@
             raise _repeated(key) from None
         except PlatformUnavailableError as error:
             with self._lock:
-                self._taken.pop(key, None)
-            message = f"the id could not be noted: {error}"
+                self._recorded_at.pop(key, None)
+            message = f"the id could not be recorded: {error}"
             raise RefusedError(Code.CLAIM_UNAVAILABLE, message, 1.0) from None
 
 
 def _repeated(key: str) -> RefusedError:
-    return RefusedError(Code.REPEATED_ID, f"{key} was taken before")
+    return RefusedError(Code.REPEATED_ID, f"{key} was used before")
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -1,8 +1,8 @@
-"""One accepted completion from its first bytes to its end, over as many engines as it takes.
+"""Relays a completion to its caller, from as many engines as it takes.
 
-The pump carries the stream. When an engine breaks off, stalls, or sends what is not this
-attempt's answer, the relay asks another engine that holds the same version for the tokens
-from the next offset on; the caller's answer goes on as if nothing had been.
+The pump moves the bytes. When an engine disconnects, stalls or sends data of another attempt, the
+relay requests the tokens from the next offset on from another engine with the same model version,
+and the caller's response continues without a gap.
 """
 
 import time
@@ -18,21 +18,21 @@
     UpstreamError,
 )
 from swifttrestle.internal.clock import read_boottime_seconds
-from swifttrestle.internal.entry.answers import CallerAnswer
 from swifttrestle.internal.entry.attempts import Attempt, Attempts
+from swifttrestle.internal.entry.responses import CallerResponse
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.calls import READ_BYTES, cancel_stream
 from swifttrestle.internal.protocol.tokens import TokenChecker
 from swifttrestle.internal.transport.pump import Pump, WaitFor
 
-RESUME_SECONDS = 20.0
-RESUME_PAUSE = 0.2
-CANCEL_SECONDS = 1.0
+RESUME_TIMEOUT_SECONDS = 20.0
+RESUME_INTERVAL_SECONDS = 0.2
+CANCEL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class RelayParts:
-    """What all relays of one entry share."""
+    """Components that all relays of one entry share."""
 
     pump: Pump
     attempts: Attempts
@@ -42,27 +42,27 @@
 
 
 class Relay:
-    """Carries one answer to its end; `done` is called once, with the error or None."""
+    """Relays one response; `done` is called once, with the error or None."""
 
     def __init__(
         self,
         parts: RelayParts,
-        answer: CallerAnswer,
+        answer: CallerResponse,
         attempt: Attempt,
         repeatable: bool,
         done: Callable[[RefusedError | CallerGoneError | None], None],
     ) -> None:
-        """Take over an attempt that has begun to stream."""
+        """Relay an attempt that has begun to stream."""
         self._parts = parts
         self._answer = answer
         self._attempt = attempt
         self._repeatable = repeatable
         self._done = done
-        self._failed: list[str] = []
+        self._failed_upstreams: list[str] = []
         self._checker = self._make_checker()
 
     def start(self) -> None:
-        """Give the attempt's stream to the pump."""
+        """Hand the attempt's stream to the pump."""
         stream = self._attempt.stream
         self._parts.pump.add(
             stream.sock, self._answer.sock, self._run(stream.first), self._finish,
@@ -73,12 +73,12 @@
         call = self._attempt.call
         return TokenChecker(call.request_id, call.attempt, call.offset)
 
-    def _run(self, piece: bytes) -> Generator[WaitFor, None, None]:
-        """Relay one attempt: check what came, deliver it, wait for more."""
+    def _run(self, data: bytes) -> Generator[WaitFor, None, None]:
+        """Relay one attempt: check the data, deliver it and wait for more."""
         checker = self._checker
         sock = self._attempt.stream.sock
         while True:
-            events = checker.take(piece)
+            events = checker.take(data)
             if events:
                 yield from self._answer.write(events)
             if checker.fault is not None:
@@ -88,17 +88,17 @@
                 return
             yield WaitFor.DATA
             try:
-                piece = sock.recv(READ_BYTES)
+                data = sock.recv(READ_BYTES)
             except BlockingIOError:
-                piece = b""
+                data = b""
                 continue
             except OSError as error:
                 raise UpstreamBrokenError(f"{type(error).__name__}", sent=True) from None
-            if not piece:
-                raise UpstreamBrokenError("the stream ended without its finish mark", sent=True)
+            if not data:
+                raise UpstreamBrokenError("the stream ended without a finish event", sent=True)
 
     def _finish(self, error: BaseException | None) -> None:
-        """Take the end of one attempt; called in the pump's thread, so it must be short."""
+        """Handle the end of an attempt; runs in the pump's thread, so it must not block."""
         attempt = self._attempt
         tokens = self._checker.offset - attempt.call.offset
         self._parts.metrics.count("tokens_relayed_total", tokens)
@@ -112,35 +112,35 @@
         else:
             self._parts.helpers.submit(
                 cancel_stream, attempt.address, attempt.call.request_id, attempt.call.attempt,
-                CANCEL_SECONDS,
+                CANCEL_TIMEOUT_SECONDS,
             )  # fmt: skip
             self._answer.close()
             self._done(CallerGoneError(str(error)))
 
     def _resume(self, error: UpstreamError) -> None:
-        """Go on with another engine, or tell the caller that the answer stays in part."""
+        """Continue on another engine, or report to the caller that the response is incomplete."""
         attempt, guard = self._attempt, self._parts.attempts.guard
-        self._failed.append(attempt.upstream)
+        self._failed_upstreams.append(attempt.upstream)
         guard.note_failure(attempt.call.request_id, attempt.upstream, attempt.address, error)
         if not self._repeatable:
             self._fail(Code.STREAM_BROKEN if self._checker.offset else Code.ANSWER_LOST, error)
             return
-        give_up = read_boottime_seconds() + RESUME_SECONDS
-        failed = list(self._failed)
-        while read_boottime_seconds() < give_up:
+        deadline = read_boottime_seconds() + RESUME_TIMEOUT_SECONDS
+        failed = list(self._failed_upstreams)
+        while read_boottime_seconds() < deadline:
             try:
-                # Without this look one request took one engine after another for 20 s.
+                # A request that crashes engines must not be resumed on further ones.
                 guard.check(attempt.call.request_id)
                 self._attempt = self._parts.attempts.resume(
                     self._attempt, self._checker.offset, failed
                 )
             except RefusedError:
                 break
-            except UpstreamError as problem:
-                error = problem
-                # After a while an engine that failed before may have come back.
+            except UpstreamError as resume_error:
+                error = resume_error
+                # Engines that failed before may have recovered.
                 failed = []
-                time.sleep(RESUME_PAUSE)
+                time.sleep(RESUME_INTERVAL_SECONDS)
                 continue
             self._parts.metrics.count("streams_resumed_total")
             self._checker = self._make_checker()
@@ -149,6 +149,6 @@
         self._fail(Code.STREAM_BROKEN, error)
 
     def _fail(self, code: Code, error: UpstreamError) -> None:
-        refusal = RefusedError(code, f"the answer broke off and was not resumed: {error}")
+        refusal = RefusedError(code, f"the response was interrupted and not resumed: {error}")
         self._answer.fail(refusal)
         self._done(refusal)
--- a/src/swifttrestle/internal/entry/answers.py
+++ b/src/swifttrestle/internal/entry/responses.py
@@ -1,4 +1,4 @@
-"""The answer's bytes towards a caller, after its socket was taken from the HTTP server."""
+"""Writes a response to a caller's socket that the HTTP server has handed over."""
 
 import contextlib
 import math
@@ -12,12 +12,12 @@
 from swifttrestle.internal.protocol.tokens import read_text
 from swifttrestle.internal.transport.pump import WaitFor
 
-LAST_WRITE_SECONDS = 5.0
-STREAM_HEAD = (
+ERROR_WRITE_TIMEOUT_SECONDS = 5.0
+STREAM_RESPONSE_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n"
     b"Transfer-Encoding: chunked\r\nConnection: close\r\nX-Request-Id: %s\r\n\r\n"
 )
-WHOLE_HEAD = (
+JSON_RESPONSE_HEAD = (
     b"HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"
     b"Connection: close\r\nX-Request-Id: %s\r\n%s\r\n"
 )
@@ -39,42 +39,42 @@
 
 
 def make_error_headers(error: RefusedError) -> tuple[tuple[str, str], ...]:
-    """Return the headers of a refusal: when to come back, where that is known."""
+    """Return the Retry-After header of a refusal, if it has one."""
     if error.retry_after is None:
         return ()
     return (("Retry-After", str(math.ceil(error.retry_after))),)
 
 
-class CallerAnswer:
-    """Writes one answer, streamed or whole, to a caller's socket that does not block."""
+class CallerResponse:
+    """Writes one response, streamed or as one JSON object, to a non-blocking socket."""
 
     def __init__(self, sock: socket.socket, request_id: str, caller_id: str, stream: bool) -> None:
-        """Take a caller's socket; `caller_id` is the caller's own id for the request."""
+        """Write to a caller's socket; `caller_id` is the caller's own id for the request."""
         self.sock = sock
         self._request_id = request_id
         self._caller_id = caller_id or request_id
         self._stream = stream
-        self._begun = False
-        self._held: list[bytes] = []
+        self._head_sent = False
+        self._buffered: list[bytes] = []
         self._unsent = b""
 
     def write(self, events: bytes) -> Generator[WaitFor, None, None]:
-        """Deliver checked events, waiting for room as long as it takes."""
+        """Write checked events to a stream, or buffer them; yields while the socket is full."""
         if not self._stream:
-            self._held.append(events)
+            self._buffered.append(events)
             return
         data = b"%x\r\n%s\r\n" % (len(events), events)
-        if not self._begun:
-            self._begun = True
-            data = STREAM_HEAD % self._caller_id.encode() + data
+        if not self._head_sent:
+            self._head_sent = True
+            data = STREAM_RESPONSE_HEAD % self._caller_id.encode() + data
         yield from self._send(data)
 
     def end(self, tokens: int) -> Generator[WaitFor, None, None]:
-        """End a whole answer."""
+        """Complete the response, which has `tokens` output tokens."""
         if self._stream:
             yield from self._send(LAST_CHUNK)
             return
-        text = read_text(b"".join(self._held))
+        text = read_text(b"".join(self._buffered))
         choice = {
             "index": 0,
             "message": {"role": "assistant", "content": text},
@@ -91,33 +91,33 @@
         yield from self._send(self._make_head(200, body, b"") + body)
 
     def fail(self, error: RefusedError) -> None:
-        """Tell the caller that the answer will not become whole, and close."""
+        """Send an error to the caller and close the connection."""
         body = orjson.dumps(make_error_body(error, self._caller_id))
-        if self._stream and self._begun:
+        if self._stream and self._head_sent:
             event = b"event: error\ndata: " + body + b"\n\n"
-            # No finish mark and an error event: the answer cannot be taken for a whole one.
+            # An error event and no finish event mark the response as incomplete.
             data = b"%x\r\n%s\r\n" % (len(event), event) + LAST_CHUNK
         else:
             lines = "".join(f"{name}: {value}\r\n" for name, value in make_error_headers(error))
             data = self._make_head(TABLE[error.code].status, body, lines.encode()) + body
         with contextlib.suppress(OSError):
-            self.sock.settimeout(LAST_WRITE_SECONDS)
+            self.sock.settimeout(ERROR_WRITE_TIMEOUT_SECONDS)
             self.sock.sendall(self._unsent + data)
         self.close()
 
     def close(self) -> None:
-        """Close the caller's connection after what was sent."""
+        """Close the connection once the sent bytes are delivered."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
         self.sock.close()
 
     def _make_head(self, status: int, body: bytes, lines: bytes) -> bytes:
         reason = Code.OK.name.encode() if status == TABLE[Code.OK].status else b"Error"
-        return WHOLE_HEAD % (status, reason, len(body), self._caller_id.encode(), lines)
+        return JSON_RESPONSE_HEAD % (status, reason, len(body), self._caller_id.encode(), lines)
 
     def _send(self, data: bytes) -> Generator[WaitFor, None, None]:
-        # What a full socket did not take is kept here, so that a stream which is resumed
-        # on another engine meanwhile goes on exactly where the caller's bytes end.
+        # Bytes that the socket did not accept are kept here, so that a stream that is resumed on
+        # another engine continues exactly where the caller's bytes end.
         self._unsent += data
         while self._unsent:
             try:
--- a/tests/cover/test_entry_guard.py
+++ b/tests/cover/test_entry_guard.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams at one entry of the own interface."""
+"""Quarantine of requests that crash upstreams, at an entry."""
 
 import random
 import socket
@@ -8,12 +8,12 @@
 from swifttrestle.codes import Code
 from swifttrestle.errors import RefusedError, UpstreamBrokenError, UpstreamBusyError
 from swifttrestle.internal.entry import crash_guard
-from swifttrestle.internal.entry.crash_guard import EntryCrashGuard, name_call
+from swifttrestle.internal.entry.crash_guard import EntryCrashGuard, make_fingerprint
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import CRASHES_TO_QUARANTINE, FIRST_QUARANTINE_SECONDS
 from tests.common.fakes import FakeClock
 
-NAME = name_call("w1", "/v1/chat/completions", b"{}")
+FINGERPRINT = make_fingerprint("w1", "/v1/chat/completions", b"{}")
 BROKEN = UpstreamBrokenError("broken off", sent=True)
 
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def closed():
-    """Return an address at which nobody listens: it is bound, so that nobody else takes it."""
+    """Return an address without a listener; it is bound, so that no other process can use it."""
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
         yield "{}:{}".format(*bound.getsockname())
@@ -42,29 +42,32 @@
 
 
 def test_a_request_that_crashed_upstreams_is_refused_under_another_id(guard, closed):
-    guard.begin("r1", NAME)
+    guard.begin("r1", FINGERPRINT)
     crash(guard, closed)
-    for request_id, act in (("r1", guard.check), ("r2", lambda name: guard.begin(name, NAME))):
+    for request_id, act in (
+        ("r1", guard.check),
+        ("r2", lambda fingerprint: guard.begin(fingerprint, FINGERPRINT)),
+    ):
         with pytest.raises(RefusedError) as refusal:
             act(request_id)
         assert refusal.value.code is Code.QUARANTINED
         assert refusal.value.retry_after >= FIRST_QUARANTINE_SECONDS
-    assert guard.list_names() == [str(NAME)]
+    assert guard.list_quarantined() == [str(FINGERPRINT)]
 
 
 @pytest.mark.parametrize(
-    "name",
+    "fingerprint",
     [
-        name_call("w2", "/v1/chat/completions", b"{}"),
-        name_call("w1", "/v1/completions", b"{}"),
-        name_call("w1", "/v1/chat/completions", b"[]"),
+        make_fingerprint("w2", "/v1/chat/completions", b"{}"),
+        make_fingerprint("w1", "/v1/completions", b"{}"),
+        make_fingerprint("w1", "/v1/chat/completions", b"[]"),
     ],
     ids=["workspace", "path", "body"],
 )
-def test_other_requests_go_on(guard, closed, name):
-    guard.begin("r1", NAME)
+def test_other_requests_are_not_refused(guard, closed, fingerprint):
+    guard.begin("r1", FINGERPRINT)
     crash(guard, closed)
-    guard.begin("r2", name)
+    guard.begin("r2", fingerprint)
     guard.check("r2")
 
 
@@ -73,47 +76,43 @@
     [UpstreamBusyError("busy"), UpstreamBrokenError("not reached", sent=False)],
     ids=["busy", "not sent"],
 )
-def test_what_did_not_reach_an_upstream_counts_against_no_request(guard, closed, error):
-    guard.begin("r1", NAME)
+def test_a_call_that_did_not_reach_the_upstream_counts_no_crash(guard, closed, error):
+    guard.begin("r1", FINGERPRINT)
     crash(guard, closed, error)
     guard.check("r1")
 
 
-def test_an_upstream_that_listens_still_has_not_crashed(guard, listening):
-    guard.begin("r1", NAME)
+def test_an_upstream_that_still_listens_has_not_crashed(guard, listening):
+    guard.begin("r1", FINGERPRINT)
     crash(guard, listening)
     guard.check("r1")
 
 
-def test_an_upstream_that_closes_its_port_a_moment_after_its_connections_has_crashed(
+def test_an_upstream_that_closes_its_port_shortly_after_its_connections_has_crashed(
     guard, monkeypatch
 ):
-    """An entry looked once, and found the port of a dying engine open: it counted no crash.
-
-    The request went on to another engine, and ended three of four in place of two; 8 of 21 runs of
-    its scenario beside other work.
-    """
+    """Guards against a crash that is missed because the port of an exiting engine is still open."""
     server = socket.create_server(("127.0.0.1", 0))
     address = "{}:{}".format(*server.getsockname())
-    # The port is closed between the first look and the next one, whenever that is.
+    # The port is closed between the first probe and the next one.
     monkeypatch.setattr(crash_guard.time, "sleep", lambda _: server.close())
-    guard.begin("r1", NAME)
+    guard.begin("r1", FINGERPRINT)
     crash(guard, address)
     with pytest.raises(RefusedError):
         guard.check("r1")
 
 
-def test_its_own_answer_acquits_a_request(guard, closed):
-    guard.begin("r1", NAME)
+def test_a_response_clears_the_crashes_of_its_request(guard, closed):
+    guard.begin("r1", FINGERPRINT)
     crash(guard, closed, count=1)
     guard.end("r1", answered=True)
-    guard.begin("r2", NAME)
+    guard.begin("r2", FINGERPRINT)
     crash(guard, closed, count=1, request_id="r2")
     guard.check("r2")
 
 
-def test_nothing_of_a_request_stays_that_ended_without_a_crash(guard):
+def test_no_state_is_kept_of_requests_that_ended_without_a_crash(guard):
     for number in range(1000):
-        guard.begin(f"r{number}", NAME)
+        guard.begin(f"r{number}", FINGERPRINT)
         guard.end(f"r{number}", answered=bool(number % 2))
-    assert (guard._names, guard.list_names()) == ({}, [])
+    assert (guard._fingerprints, guard.list_quarantined()) == ({}, [])
--- a/tests/cover/test_entry_handler.py
+++ b/tests/cover/test_entry_handler.py
@@ -1,4 +1,4 @@
-"""Bad input at every entrance gives a typed, numbered error and nothing else."""
+"""Malformed input of any kind raises a typed error with a result code, and nothing else."""
 
 import string
 
@@ -46,7 +46,7 @@
 
 
 class Headers:
-    """The part of an exchange that is asked for headers."""
+    """An exchange that has only headers."""
 
     def __init__(self, **values):
         self.values = values
@@ -88,7 +88,7 @@
     assert 0 < terms.deadline <= SERVICE.deadline_ms / 1000
 
 
-def test_a_caller_may_lower_its_priority_and_never_raise_it():
+def test_a_caller_can_lower_its_priority_but_not_raise_it():
     urgent = Headers(X_Priority="urgent")
     background = Headers(X_Priority="background")
     assert read_terms(urgent, SERVICE, "w", 0.0).priority == "normal"
@@ -114,7 +114,7 @@
         ShardCopy("fleet", 7, [{"kind": "Model"}]),
     ],
 )
-def test_a_message_comes_back_as_it_was_sent(message):
+def test_a_message_is_unpacked_as_it_was_packed(message):
     assert unpack_message(decode_frame(msgpack.packb(pack_message(message)))) == message
 
 
@@ -176,7 +176,7 @@
 
 @FUZZ
 @given(st.lists(st.integers(0, len(GOOD)), max_size=8))
-def test_a_good_stream_is_whole_however_it_is_cut_into_pieces(cuts):
+def test_a_valid_stream_is_complete_however_it_is_cut_into_pieces(cuts):
     checker = TokenChecker("r1", 1, 0)
     edges = [0, *sorted(cuts), len(GOOD)]
     out = b"".join(checker.take(GOOD[a:b]) for a, b in zip(edges, edges[1:], strict=False))
@@ -185,12 +185,12 @@
 
 @FUZZ
 @given(st.binary(max_size=60), st.integers(0, len(GOOD)))
-def test_any_bytes_in_a_stream_never_pass_as_a_whole_answer(noise, at):
+def test_a_stream_with_inserted_bytes_is_not_taken_for_a_complete_answer(noise, at):
     checker = TokenChecker("r1", 1, 0)
     data = GOOD[:at] + noise + GOOD[at:]
     out = checker.take(data)
     if checker.whole and checker.fault is None:
-        # Noise within a token's text is text; the order and number of tokens stand.
+        # Noise within a token's text is valid text; the number of tokens is unchanged.
         assert checker.offset == 3
     assert data.startswith(out)
 
@@ -207,7 +207,7 @@
     ],
     ids=["doubled", "gap", "crossed", "late attempt", "short", "after the end"],
 )
-def test_a_faulty_stream_delivers_what_was_good_and_no_more(bad, delivered):
+def test_a_faulty_stream_is_delivered_up_to_its_first_fault(bad, delivered):
     checker = TokenChecker("r1", 1, 0)
     out = checker.take(bad)
     assert checker.fault is not None
@@ -215,7 +215,7 @@
     assert out.count(b'"content"') == delivered
 
 
-def test_another_way_to_write_the_same_event_is_understood():
+def test_an_event_with_other_spacing_and_key_order_is_accepted():
     checker = TokenChecker("r1", 1, 0)
     event = b'data: {"choices": [{"delta": {"content": "x"}}], '
     event += b'"offset": 0, "attempt": 1, "id": "r1"}\n\n'
@@ -227,5 +227,5 @@
     ("text", "seconds"),
     [("3", 3.0), ("", 0.0), ("soon", 0.0), ("-1", 0.0), ("nan", 0.0), ("1e9", 0)],
 )
-def test_a_retry_after_is_seconds_or_nothing(text, seconds):
+def test_a_retry_after_is_seconds_or_ignored(text, seconds):
     assert read_retry_after(text) == seconds
