--- a/tests/hosted/test_readiness.py
+++ b/tests/hosted/test_readiness.py
@@ -1,4 +1,4 @@
-"""When a host says that it is ready."""
+"""When a host reports that it is ready."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def build_slow_site():
-    """Start a site whose host takes a while until its operators' address listens."""
+    """Start a site whose host is slow to listen at its operators' address."""
     open_others = Listeners.open
 
     async def open_late(listeners, address, handler):
@@ -24,10 +24,6 @@
 
 @on_built(build_slow_site)
 async def test_a_host_is_ready_once_it_listens_at_all_of_its_addresses(site):
-    """Callers and operators who come as soon as a host says that it is ready are served.
-
-    A host knew the configuration and the list before it listened for operators; on a busy machine
-    their connections were refused in 2 of 9 runs of the suite, and always where that took long.
-    """
+    """Guards against refused operators' connections shortly after a host reports ready."""
     answer = await ask(site.gateways["g0"].metrics_address, "/debug/state", "s", method="GET")
     assert answer.status == 200
--- a/tests/hosted/test_workspaces.py
+++ b/tests/hosted/test_workspaces.py
@@ -1,8 +1,6 @@
-"""Workspaces' keys through a gateway: who may call, by which name, and until when.
+"""Authentication of callers by workspace keys at a gateway.
 
-A deployment declared workspaces with keys, and the gateway knew nothing of them: it passed each key
-on to the upstream, 24,375 times a day, without the workspace's name, and went on serving keys that
-the operator had taken away (3,286 times on a day with trouble).
+Upstreams get the workspace's name and never the key, and removed keys are no longer served.
 """
 
 import asyncio
@@ -16,7 +14,7 @@
 from tests.common.http import RawCaller, ask, write_request
 from tests.hosted.sites import LONG, SHORT, address_of, build_site, count_runs, on_built
 
-FIRST, SECOND, TAKEN = "key-of-club-1", "key-of-club-2", "key-that-goes"
+FIRST, SECOND, REMOVED = "key-of-club-1", "key-of-club-2", "key-that-goes"
 KINDS = (
     ("/verdict/a", {"X_Token_Usage": LONG}),
     ("/chat/a", {"X_Token_Usage": SHORT}),
@@ -26,13 +24,13 @@
 
 
 def on_keyed_site(gateways=1, revoke_ms=5000):
-    """Run an async test on a site whose callers need keys."""
+    """Decorate an async test to run on a site whose callers need keys."""
 
     async def build():
         site = await build_site(gateways=0)
         site.bounds = {"strictRevoke": True, "revokeMs": revoke_ms}
         site.routes.append(make_route("open", "safe", "alerts", public=True))
-        declare_keys(site, FIRST, SECOND, TAKEN)
+        declare_keys(site, FIRST, SECOND, REMOVED)
         for number in range(gateways):
             await site.add_gateway(f"g{number}", number)
         await site.wait_ready()
@@ -42,7 +40,7 @@
 
 
 def declare_keys(site, *keys):
-    """Declare the club with some of its keys, and another workspace."""
+    """Declare the workspace `club` with these keys, and another workspace."""
     site.workspaces = [
         {"name": "club", "apiKeys": list(keys), "priority": 1},
         {"name": "liaison", "apiKeys": ["key-of-liaison"], "priority": 0},
@@ -59,14 +57,14 @@
 
 
 @on_keyed_site()
-async def test_upstreams_learn_the_workspace_and_never_the_key(site):
+async def test_upstreams_get_the_workspace_and_never_the_key(site):
     for number, (path, headers) in enumerate(KINDS):
         answer = await ask(
             address_of(site), path, f"r{number}", X_Key=FIRST, X_Tenant="liaison", **headers
         )
         assert answer.status == 200, path
     arrivals = list_arrivals(site)
-    # The long prompt arrives twice: it is read by one engine and answered by another.
+    # The long prompt arrives twice: at a prefill engine and at a decode engine.
     assert len(arrivals) == len(KINDS) + 1
     for _, headers in arrivals:
         assert headers["x-tenant"] == "club"
@@ -75,15 +73,15 @@
 
 
 @on_keyed_site()
-async def test_a_workspaces_priority_goes_to_engines_in_place_of_the_routes(site):
+async def test_a_workspaces_priority_overrides_that_of_the_route(site):
     await ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=LONG, X_Key=FIRST)
     await ask(address_of(site), "/chat/a", "c1", X_Token_Usage=SHORT, X_Key="key-of-liaison")
-    told = {name: headers["x-request-priority"] for name, headers in list_arrivals(site)}
-    assert told == {"v1": "1", "c1": "0"}
+    priorities = {name: headers["x-request-priority"] for name, headers in list_arrivals(site)}
+    assert priorities == {"v1": "1", "c1": "0"}
 
 
 @on_keyed_site()
-async def test_a_request_without_a_key_that_is_in_force_runs_nowhere(site):
+async def test_a_request_without_exactly_one_valid_key_is_not_run(site):
     for number, keys in enumerate(([], [""], ["no-such-key"], ["x" * 7000], [FIRST, SECOND])):
         caller = await RawCaller.connect(address_of(site))
         data = write_request("/goal/a", f"n{number}")
@@ -97,7 +95,7 @@
 
 
 @on_keyed_site()
-async def test_a_public_route_needs_no_key_and_still_takes_no_wrong_one(site):
+async def test_a_public_route_needs_no_key_but_refuses_an_unknown_one(site):
     answer = await ask(address_of(site), "/open/a", "o1", method="GET", X_Tenant="club")
     assert answer.status == 200
     ((_, headers),) = list_arrivals(site)
@@ -109,14 +107,14 @@
 
 
 @on_keyed_site()
-async def test_a_key_that_is_taken_away_ends_on_kept_connections_too(site):
+async def test_a_removed_key_is_refused_on_open_connections_too(site):
     caller = await RawCaller.connect(address_of(site))
-    caller.send(write_request("/goal/a", "before", X_Key=TAKEN))
+    caller.send(write_request("/goal/a", "before", X_Key=REMOVED))
     assert (await caller.read_answer()).status == 200
     version = declare_keys(site, FIRST, SECOND)
     gateway = site.gateways["g0"].gateway
     await wait_until(lambda: gateway.config_version == version, "version in force")
-    caller.send(write_request("/goal/a", "after", X_Key=TAKEN))
+    caller.send(write_request("/goal/a", "after", X_Key=REMOVED))
     assert (await caller.read_answer()).status == 401
     caller.send(write_request("/goal/a", "other", X_Key=FIRST))
     assert (await caller.read_answer()).status == 200
@@ -125,7 +123,7 @@
 
 
 @on_keyed_site(revoke_ms=1500)
-async def test_a_host_that_hears_nothing_refuses_keys_before_their_bound_and_says_come_back(site):
+async def test_a_host_without_the_store_refuses_keys_in_time_with_retry_after(site):
     address = address_of(site)
     gateway = site.gateways["g0"].gateway
     site.store.faults.down = True
@@ -134,9 +132,9 @@
     answer = await ask(address, "/goal/a", "g1", X_Key=FIRST)
     assert (answer.status, read_code(answer)) == (503, Code.KEY_UNCONFIRMED)
     assert 0 < answer.retry_after <= 1.0
-    # A key that is not known may be newer than what this host knows: it is no 401 now.
+    # An unknown key may be newer than this host's configuration, so the status is not 401.
     assert (await ask(address, "/goal/a", "g2", X_Key="no-such-key")).status == 503
-    # Nobody's key is needed here.
+    # This route is public.
     assert (await ask(address, "/open/a", "o1", method="GET")).status == 200
     site.store.faults.down = False
     await wait_until(gateway.is_ready, "ready again")
@@ -145,8 +143,8 @@
 
 
 @on_keyed_site(gateways=4, revoke_ms=2500)
-async def test_hosts_that_the_store_turns_away_serve_keys_by_their_peers_word(site):
-    """The words of peers are young enough for as long as one host reads the store."""
+async def test_hosts_without_the_store_serve_keys_that_their_peers_confirm(site):
+    """The confirmations of peers are fresh enough as long as one host reads the store."""
     gateways = [item.gateway for item in site.gateways.values()]
     for gateway in gateways:
         await wait_until(lambda g=gateway: len(g.live_hosts()) == len(gateways), "all hosts")
@@ -157,24 +155,24 @@
         assert all(gateway.is_ready() for gateway in gateways)
     answer = await ask(address_of(site, "g3"), "/goal/a", "g1", X_Key=FIRST)
     assert answer.status == 200
-    # What the operator takes away reaches them as well.
+    # Removed keys reach these hosts too.
     declare_keys(site, FIRST, SECOND)
     await asyncio.sleep(2.5)
     for name in site.gateways:
         assert (
-            await ask(address_of(site, name), "/goal/a", f"t-{name}", X_Key=TAKEN)
+            await ask(address_of(site, name), "/goal/a", f"t-{name}", X_Key=REMOVED)
         ).status == 401
 
 
 def cut_from_store(gateway):
-    """Have a gateway's calls to the store meet nobody."""
+    """Make a gateway's calls to the store fail."""
     gateway._store._address = ("127.0.0.1", 1)
     gateway._store._pool.forget("store")
 
 
 @on_keyed_site()
-async def test_no_key_stands_in_what_a_host_tells_of_itself(site, monkeypatch):
-    """Every line, metric and dump of a played scenario, for each of the keys."""
+async def test_no_key_is_in_the_log_lines_metrics_or_state_dump(site, monkeypatch):
+    """Collects all log lines, metrics and dumps of a scenario and searches for each key."""
     lines = []
     with monkeypatch.context() as patched:
         patched.setattr(WRITER, "put", lambda event, fields: lines.append(f"{event} {fields}"))
@@ -182,7 +180,7 @@
             for key in (FIRST, "no-such-key"):
                 await ask(address_of(site), path, f"r{number}-{key}"[:4], X_Key=key, **headers)
         declare_keys(site, FIRST, SECOND)
-        # Entries that cannot be taken are told of, with what is wrong in them.
+        # Malformed entries are logged with their invalid field.
         bad = dict(site.store.objects["config", "main"]["spec"])
         for change in ({"tenants": [{"name": 7, "apiKeys": [FIRST]}]}, {"routes": [{}]}):
             site.store.put("config", "main", {**bad, "version": bad["version"] + 1, **change})
@@ -191,24 +189,21 @@
         caller = running.metrics_address
         for path in ("/metrics", "/debug/state"):
             lines.append((await ask(caller, path, "m1", method="GET")).body.decode())
-    told = "\n".join(lines)
-    assert "entry skipped" in told and "workspace" in told
-    assert 'gateway_keys_refused_total{reason="unknown"}' in told
-    for key in (FIRST, SECOND, TAKEN, "key-of-liaison", "no-such-key"):
-        assert key not in told
+    output = "\n".join(lines)
+    assert "entry skipped" in output and "workspace" in output
+    assert 'gateway_keys_refused_total{reason="unknown"}' in output
+    for key in (FIRST, SECOND, REMOVED, "key-of-liaison", "no-such-key"):
+        assert key not in output
 
 
 @on_keyed_site(gateways=5)
-async def test_hosts_of_a_large_fleet_hear_of_versions_without_watching(site, monkeypatch):
-    """With each version all watches of a fleet ended and began again, a call of each host.
-
-    Untouched, 83 hosts made 2,300 calls to the store on a calm day of 58 seconds.
-    """
+async def test_hosts_of_a_large_fleet_get_versions_without_watching(site, monkeypatch):
+    """Guards against a watch by every host, which costs one call per host and version."""
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
     gateways = [item.gateway for item in site.gateways.values()]
     for gateway in gateways:
         await wait_until(lambda g=gateway: len(g.live_hosts()) == len(gateways), "all hosts")
-    # The watches that began before the hosts knew each other end within two seconds.
+    # Watches that began before the hosts knew each other end within two seconds.
     await asyncio.sleep(2.5)
     site.store.calls.clear()
     for number in range(4):
--- a/tests/nocover/test_demo.py
+++ b/tests/nocover/test_demo.py
@@ -1,10 +1,10 @@
-"""The demo itself: declared resources become right answers over separate processes."""
+"""The demo over separate processes, from declared resources to correct answers."""
 
 import subprocess
 import sys
 
 
-def test_the_demo_gives_only_right_answers():
+def test_the_demo_gives_only_correct_answers():
     done = subprocess.run(
         [sys.executable, "-m", "swifttrestle_standins.demo"],
         capture_output=True, text=True, timeout=200, check=False,
--- a/tests/nocover/test_idempotency.py
+++ b/tests/nocover/test_idempotency.py
@@ -1,4 +1,4 @@
-"""A caller's own resend of a may-not-repeat id, through the same entry and through another."""
+"""Calls with a may-not-repeat id that a caller sends again, to the same or another entry."""
 
 import pytest
 import yaml
@@ -46,11 +46,11 @@
         ("by-entry", ("n1", "n1"), 1),
         ("by-platform", ("n1", "n1"), 1),
         ("by-platform", ("n1", "n2"), 1),
-        # Stated in docs/API.md: an entry's memory ends at the entry.
+        # An entry's memory does not cover other entries; see docs/API.md.
         ("by-entry", ("n1", "n2"), 2),
     ],
 )
-def test_a_resend_runs_as_often_as_the_claim_says(fleet, service, entries, runs):
+def test_a_repeated_call_runs_as_often_as_the_claim_setting_allows(fleet, service, entries, runs):
     request_id = f"{service}-{'-'.join(entries)}"
     first = send(fleet, entries[0], service, request_id)
     second = send(fleet, entries[1], service, request_id)
@@ -60,7 +60,7 @@
         assert second.error["code"] == 1016
 
 
-def test_a_claim_that_cannot_be_written_is_refused_and_may_come_again(fleet):
+def test_a_call_whose_claim_cannot_be_written_is_refused_and_can_be_retried(fleet):
     fleet.set_fault("platform", down=True)
     refused = send(fleet, "n1", "by-platform", "in-outage")
     assert refused.error["code"] == 1017
@@ -71,7 +71,7 @@
     assert count_runs(fleet, "in-outage") == 1
 
 
-def test_a_claim_whose_answer_is_lost_still_runs_once(fleet):
+def test_a_call_whose_claim_got_no_answer_runs_at_most_once(fleet):
     fleet.set_fault("platform", lose_answers=1)
     answer = send(fleet, "n1", "by-platform", "lost-claim")
     fleet.set_fault("platform", lose_answers=0)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("service", ["by-entry", "by-platform"])
-def test_a_refused_call_may_come_again_under_its_id(fleet, service):
+def test_a_refused_call_can_be_retried_under_its_id(fleet, service):
     fleet.set_fault("s1", busy=True)
     refused = send(fleet, "n1", service, f"busy-{service}")
     assert refused.error["ran"] == "not run"
--- a/tests/nocover/test_live_entry.py
+++ b/tests/nocover/test_live_entry.py
@@ -1,4 +1,4 @@
-"""The doors of running processes: numbered errors, nothing lost, the process lives."""
+"""Invalid input at the ports of running processes, and the output of the operators' tools."""
 
 import json
 import socket
@@ -27,7 +27,7 @@
         yield started
 
 
-def is_alive(fleet):
+def serves_requests(fleet):
     answer = ask(fleet.members["n1"].addresses["listen"], KEY, "chat", "still there?")
     return answer.whole
 
@@ -48,7 +48,7 @@
         ("/services/chat/x", KEY, GOOD, {}, 404, 1003),
     ],
 )
-def test_a_bad_request_gets_its_numbered_code(  # noqa: PLR0917
+def test_an_invalid_request_gets_its_result_code(  # noqa: PLR0917
     fleet, path, key, body, headers, status, code
 ):
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -56,7 +56,7 @@
     answer = send(address, path, key, raw, headers=headers)
     assert (answer.status, answer.error.get("code")) == (status, code), answer
     assert answer.error["ran"] == "not run"
-    assert is_alive(fleet)
+    assert serves_requests(fleet)
 
 
 @pytest.mark.parametrize("size", [25_000, 400_000])
@@ -64,11 +64,11 @@
     address = fleet.members["n1"].addresses["listen"]
     answer = send(address, CHAT, KEY, b"x" * size, headers={})
     assert answer.status == 413 or answer.lost
-    assert is_alive(fleet)
+    assert serves_requests(fleet)
 
 
 @pytest.mark.parametrize("noise", [b"", b"GET / HTTP/1.1\r\n\r\n", b"swt1" + b"\0" * 48])
-def test_a_stranger_on_the_peer_port_is_turned_away(fleet, noise):
+def test_a_connection_without_the_secret_is_rejected_on_the_peer_port(fleet, noise):
     before = fleet.dump("n1")["counters"]
     with socket.create_connection(parse_address(fleet.members["n1"].addresses["peer"])) as sock:
         sock.sendall(noise)
@@ -77,22 +77,22 @@
         while sock.recv(4096):
             pass
 
-    def turned_away(counters):
+    def count_rejected(counters):
         return sum(v for k, v in counters.items() if k.startswith("peers_turned_away"))
 
-    wait_until(lambda: turned_away(fleet.dump("n1")["counters"]) > turned_away(before))
-    assert is_alive(fleet)
+    wait_until(lambda: count_rejected(fleet.dump("n1")["counters"]) > count_rejected(before))
+    assert serves_requests(fleet)
 
 
-def test_no_secret_stands_in_dump_log_or_status(fleet):
-    shown = json.dumps(fleet.dump("n1")) + json.dumps(fleet.dump("c1")) + fleet.ctl("status").stdout
-    shown += fleet.members["n1"].log.read_text() + fleet.members["c1"].log.read_text()
-    assert SECRET not in shown
-    assert KEY not in shown
+def test_no_secret_is_in_dump_log_or_status(fleet):
+    text = json.dumps(fleet.dump("n1")) + json.dumps(fleet.dump("c1")) + fleet.ctl("status").stdout
+    text += fleet.members["n1"].log.read_text() + fleet.members["c1"].log.read_text()
+    assert SECRET not in text
+    assert KEY not in text
 
 
-def test_the_metrics_page_counts(fleet):
-    assert is_alive(fleet)
+def test_the_metrics_page_has_counters_and_gauges(fleet):
+    assert serves_requests(fleet)
     address = fleet.members["n1"].addresses["ops"]
     page = fleet.client.request("GET", f"http://{address}/metrics").data.decode()
     assert 'swifttrestle_accepted_total{service="chat"}' in page
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("args", "said"),
+    ("args", "text"),
     [
         (("get", "Upstream"), "e1"),
         (("get", "Upstream", "e1", "--output=json"), '"fencing": "checked"'),
@@ -111,7 +111,7 @@
         (("hash", "a-key"), "2a8a1240"),
     ],
 )
-def test_the_operators_program_shows(fleet, args, said):
+def test_the_output_of_the_operators_program(fleet, args, text):
     done = fleet.ctl(*args)
     assert done.returncode == 0, done.stderr
-    assert said in done.stdout
+    assert text in done.stdout
