--- a/src/swifttrestle/__init__.py
+++ b/src/swifttrestle/__init__.py
@@ -1,3 +1,3 @@
-"""Swifttrestle: serves language models on a fixed fleet under a shifting prompt-to-output mix."""
+"""Swifttrestle: a gateway and scheduler for language model engines."""
 
 __version__ = "0.1.0"
--- a/src/swifttrestle/codes.py
+++ b/src/swifttrestle/codes.py
@@ -1,8 +1,8 @@
-"""Numbered result codes: the one table that the code, the docs and the tests share.
+"""The table of numbered result codes, which code, docs and tests share.
 
-Each error body that a caller gets holds the number, the name and whether the request
-ran. Numbers are never reused. 1xxx: nothing ran. 2xxx: it may have run. 3xxx: it ran in
-part. 4xxx: operators and configuration. 5xxx: between the system's own processes.
+The error body of a response has the number, the name and whether the request ran. Numbers are
+never reused. 1xxx: nothing ran. 2xxx: the request may have run. 3xxx: it ran in part. 4xxx:
+operators and configuration. 5xxx: between the system's processes.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 
 class Code(IntEnum):
-    """Every result code, by name."""
+    """The result codes."""
 
     OK = 0
     BAD_REQUEST = 1001
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class CodeEntry:
-    """One row of the table: HTTP status (0 where callers never see it), what ran, meaning."""
+    """One row of the table; `status` is the HTTP status, 0 for codes that callers never get."""
 
     status: int
     ran: Ran | None
--- a/src/swifttrestle/controller.py
+++ b/src/swifttrestle/controller.py
@@ -1,4 +1,4 @@
-"""`swifttrestle-controller`: campaigns for leases, accepts configuration, works the pools."""
+"""`swifttrestle-controller`: competes for leases, accepts configuration and manages pools."""
 
 import threading
 import zlib
@@ -37,32 +37,33 @@
 
 PROGRAM = "swifttrestle-controller"
 CONFIG_LEASE = "config"
-RANKS = 4
-RELEASE_SECONDS = 5.0
+# Processes wait 0 to LEASE_RANKS - 1 ticks before they take a lease, by a hash of their name.
+LEASE_RANKS = 4
+RELEASE_TIMEOUT_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
-class Stepper:
-    """An actor and whether a tick still waits for it."""
+class TickedActor:
+    """An actor that is driven by ticks; `tick_pending` is set while a tick is not processed."""
 
     ref: pykka.ActorRef
     tick_pending: threading.Event
 
     def send(self, tick: Tick) -> None:
-        """Send a tick unless the one before is still waiting."""
+        """Send a tick unless the last one is not processed yet."""
         if not self.tick_pending.is_set():
             self.tick_pending.set()
             self.ref.tell(tick)
 
 
-def start_stepper(kind: type[StepActor], *args: Any) -> Stepper:
-    """Start an actor."""
+def start_ticked_actor(actor_class: type[StepActor], *args: Any) -> TickedActor:
+    """Start an actor that is driven by ticks."""
     tick_pending = threading.Event()
-    return Stepper(kind.start(tick_pending, *args), tick_pending)
+    return TickedActor(actor_class.start(tick_pending, *args), tick_pending)
 
 
 class Controller:
-    """All actors of one controller process."""
+    """The actors of one controller process."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         make_engine: EngineFactory = make_http_engine,
         make_planner: Callable[[], RolePlanner] = CostAwareRoles,
     ) -> None:
-        """Prepare; `run` begins and returns at a planned stop."""
+        """Create the components; `run` starts them."""
         self._settings = settings
         self._make_engine = make_engine
         self._make_planner = make_planner
@@ -79,14 +80,14 @@
         )
         self._hosts = HostTracker(self.process.api, self.process.clock, settings.host_lag_seconds)
         self._authority = self._make_authority()
-        self._pools: dict[str, Stepper] = {}
+        self._actors: dict[str, TickedActor] = {}
         self._pool_status: dict[str, PoolStatus | None] = {}
         self.process.add_dump("status", self._collect_status)
 
     def run(self) -> None:
-        """Work until a planned stop."""
+        """Run until a graceful shutdown has ended."""
         self.process.start()
-        threading.Thread(target=self._tick_for_ever, daemon=True).start()
+        threading.Thread(target=self._run_ticks, daemon=True).start()
         self.process.run_until_stopped({}, self._release_all)
 
     def _make_authority(self) -> ConfigAuthority:
@@ -95,9 +96,9 @@
         return ConfigAuthority(process.api, process.cache, lease, process.config, process.metrics)
 
     def _make_lease(self, name: str) -> LeaseManager:
-        """Spread the leases: each process leaves most of them to others for a moment."""
+        """Return the keeper of a lease; the delay by rank spreads leases over processes."""
         settings, process = self._settings, self.process
-        rank = zlib.crc32(f"{name}/{settings.name}".encode()) % RANKS
+        rank = zlib.crc32(f"{name}/{settings.name}".encode()) % LEASE_RANKS
         return LeaseManager(
             process.api,
             process.cache,
@@ -109,21 +110,21 @@
             delay=rank * settings.tick_seconds,
         )
 
-    def _tick_for_ever(self) -> None:
-        """Give every actor a tick; one that is still at work is not given another."""
+    def _run_ticks(self) -> None:
+        """Send ticks to all actors until the process stops."""
         settings = self._settings
         process = self.process
-        config_actor = start_stepper(ConfigActor, self._authority)
-        status_actor = start_stepper(StatusActor, process.api, self._collect_status)
-        self._pools["(config)"] = config_actor
-        next_slow = 0.0
+        config_actor = start_ticked_actor(ConfigActor, self._authority)
+        status_actor = start_ticked_actor(StatusActor, process.api, self._collect_status)
+        self._actors["(config)"] = config_actor
+        next_status_at = 0.0
         while not process.stopping.wait(settings.tick_seconds):
             tick = Tick(process.config.current)
             self._start_pools()
-            for stepper in list(self._pools.values()):
-                stepper.send(tick)
-            if process.clock.now() >= next_slow:
-                next_slow = process.clock.now() + settings.status_seconds
+            for actor in list(self._actors.values()):
+                actor.send(tick)
+            if process.clock.now() >= next_status_at:
+                next_status_at = process.clock.now() + settings.status_seconds
                 self._hosts.refresh()
                 if self._authority.lease.held:
                     process.membership.delete_gone_members(self._hosts.is_gone)
@@ -132,8 +133,10 @@
     def _start_pools(self) -> None:
         upstreams = self.process.config.current.upstreams.values()
         for name in sorted({u.pool for u in upstreams if u.type == "engine"}):
-            if name not in self._pools:
-                self._pools[name] = start_stepper(PoolActor, self._make_pool(name), self._publish)
+            if name not in self._actors:
+                self._actors[name] = start_ticked_actor(
+                    PoolActor, self._make_pool(name), self._publish
+                )
 
     def _make_pool(self, name: str) -> Pool:
         process = self.process
@@ -155,17 +158,17 @@
         self._pool_status[name] = status
 
     def _collect_status(self) -> dict[str, dict]:
-        """Return the status objects of what this process holds now."""
-        found = {
+        """Return the status objects of the pools and leases that this process holds."""
+        statuses = {
             f"pool.{name}": asdict(status)
             for name, status in list(self._pool_status.items())
             if status is not None
         }
         if self._authority.lease.held:
-            found["config"] = self._show_config()
-        return found
+            statuses["config"] = self._describe_config()
+        return statuses
 
-    def _show_config(self) -> dict:
+    def _describe_config(self) -> dict:
         epochs = self.process.config.epochs()
         members = self.process.membership.members(ENTRY)
         views = [self.process.membership.view(name) for name in members]
@@ -182,17 +185,17 @@
         }
 
     def _release_all(self) -> None:
-        """Give up every lease, so that another controller can go on at once."""
-        futures = [stepper.ref.ask(Release(), block=False) for stepper in self._pools.values()]
+        """Release every lease, so that another controller can take over at once."""
+        futures = [actor.ref.ask(Release(), block=False) for actor in self._actors.values()]
         for future in futures:
             try:
-                future.get(timeout=RELEASE_SECONDS)
+                future.get(timeout=RELEASE_TIMEOUT_SECONDS)
             except pykka.Timeout:
                 continue
 
 
 def run(settings: ControllerSettings) -> None:
-    """Run a controller until it is told to stop."""
+    """Run a controller until SIGTERM or SIGINT."""
     Controller(settings).run()
 
 
--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -1,4 +1,4 @@
-"""`swifttrestle-ctl`: declares resources, shows them and what became of them."""
+"""`swifttrestle-ctl`: declares resources and shows their status."""
 
 import hashlib
 import sys
@@ -27,25 +27,25 @@
     strip_nonce,
     write_once,
 )
-from swifttrestle.internal.described import write_default
 from swifttrestle.internal.duty_report import describe_duties
 from swifttrestle.internal.explanation import explain_request, read_log_lines
-from swifttrestle.internal.files import Document, read_documents
 from swifttrestle.internal.protocol.platform import RestObjectApi, StoredObject
+from swifttrestle.internal.resource_files import Document, read_documents
 from swifttrestle.internal.settings import ENV_PREFIX, check_platform, read_environment
 from swifttrestle.internal.transport.http import make_client
+from swifttrestle.internal.validated_fields import format_default
 from swifttrestle.resources import KINDS, find_faults, group_resources, parse_resource
 
 OUTPUTS = ("table", "yaml", "json")
 EXIT_REFUSED = 1
-POLL_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 
 
 class Ctl:
     """Declare resources in the platform's object API and read their status.
 
-    The object API is found by --platform or SWIFTTRESTLE_PLATFORM, its key by
-    SWIFTTRESTLE_PLATFORM_KEY.
+    --platform or SWIFTTRESTLE_PLATFORM gives the address of the object API,
+    SWIFTTRESTLE_PLATFORM_KEY its key.
 
     Examples:
       swifttrestle-ctl apply examples/association
@@ -54,7 +54,7 @@
     """
 
     def __init__(self, platform: str = "", who: str = "operator") -> None:
-        """Talk to the object API as `who`."""
+        """Use the object API as `who`."""
         env = read_environment()
         base = platform or env.get(ENV_PREFIX + "PLATFORM", "http://127.0.0.1:7000")
         try:
@@ -64,7 +64,7 @@
         self._api = RestObjectApi(checked, who, env.get(ENV_PREFIX + "PLATFORM_KEY", ""))
 
     def apply(self, *paths: str, wait: float = 0) -> None:
-        """Write the resources of files and folders; a bad file changes nothing.
+        """Write the resources of files and folders; an invalid file changes nothing.
 
         With --wait=SECONDS it returns once all are accepted and in force at every entry.
 
@@ -72,29 +72,29 @@
         """
         documents = read_documents(paths)
         current = {d.key: read_or_none(self._api, d.kind, d.name) for d in documents}
-        self._check_together(documents)
+        self._check_references(documents)
         self._check_versions(documents, current)
         written: dict[str, int] = {}
         for document in documents:
             before = current[document.key]
             if before is not None and strip_nonce(before) == document.spec:
-                _say(f"{document.key} unchanged")
+                _print_line(f"{document.key} unchanged")
                 continue
             version = before.version if before else 0
             try:
                 stored = write_once(self._api, document.kind, document.name, document.spec, version)
             except ConflictError:
                 raise ConflictError(
-                    f"{document.key} was written by another while this ran; "
+                    f"{document.key} was changed by another writer meanwhile; "
                     "see `diff`, then apply again"
                 ) from None
             written[document.key] = stored.version
-            _say(f"{document.key} {'changed' if before else 'created'}")
+            _print_line(f"{document.key} {'changed' if before else 'created'}")
         if wait:
             self._wait_in_force(documents, wait)
 
     def diff(self, *paths: str) -> None:
-        """Show how files differ from what stands in the object API; nothing is written.
+        """Show how files differ from the stored resources; nothing is written.
 
         Example: swifttrestle-ctl diff examples/association
         """
@@ -104,18 +104,18 @@
             for field in sorted({*before, *document.spec}):
                 old, new = before.get(field), document.spec.get(field)
                 if old != new:
-                    _say(f"{document.key} {field}: {old!r} -> {new!r}")
+                    _print_line(f"{document.key} {field}: {old!r} -> {new!r}")
 
     def explain_request(self, request_id: str, logs: str) -> None:
-        """Tell what became of a request, from a folder with the gateways' logs.
+        """Show the timeline of a request, from a folder with the gateways' logs.
 
         Example: swifttrestle-ctl explain-request 74947cc48ea21ecb --logs=logs
         """
         folder = Path(logs)
         if not folder.is_dir():
-            raise InvalidSettingError(f"--logs: {logs!r} is no folder; give one with log files")
+            raise InvalidSettingError(f"--logs: {logs!r} is not a folder; give one with log files")
         for line in explain_request(read_log_lines(folder), str(request_id)):
-            _say(line)
+            _print_line(line)
 
     def get(self, kind: str, name: str = "", output: str = "table") -> None:
         """Show resources of a kind, as table, yaml (to edit and apply) or json.
@@ -134,28 +134,30 @@
             for i in sorted(found, key=lambda i: i.name)
         ]
         if output == "json":
-            _say(orjson.dumps(plain, option=orjson.OPT_INDENT_2).decode())
+            _print_line(orjson.dumps(plain, option=orjson.OPT_INDENT_2).decode())
         elif output == "yaml":
-            _say(yaml.safe_dump_all(plain, sort_keys=False).rstrip())
+            _print_line(yaml.safe_dump_all(plain, sort_keys=False).rstrip())
         else:
             for line in _make_table(plain):
-                _say(line)
+                _print_line(line)
 
     def watch(self, kind: str, count: int = 0) -> None:
-        """Print each change of a kind as it comes; --count=N ends after N changes.
+        """Print each change of a kind as it happens; --count=N ends after N changes.
 
         Example: swifttrestle-ctl watch Status
         """
         if kind != STATUS:
             _check_kind(kind)
-        seen = 0
+        printed = 0
         for event in self._api.watch((kind,), self._api.list(kind).version):
             if event.stored is None:
                 continue
             verb = "deleted" if event.deleted else "changed"
-            _say(f"{event.stored.kind}/{event.stored.name} {verb} {strip_nonce(event.stored)}")
-            seen += 1
-            if count and seen >= count:
+            _print_line(
+                f"{event.stored.kind}/{event.stored.name} {verb} {strip_nonce(event.stored)}"
+            )
+            printed += 1
+            if count and printed >= count:
                 return
 
     def explain(self, kind: str = "") -> None:
@@ -165,22 +167,22 @@
         """
         if not kind:
             for each in KINDS.values():
-                _say(f"{each.KIND}: {(each.__doc__ or '').splitlines()[0]}")
+                _print_line(f"{each.KIND}: {(each.__doc__ or '').splitlines()[0]}")
             return
         _check_kind(kind)
-        _say(f"{kind}: {(KINDS[kind].__doc__ or '').splitlines()[0]}")
+        _print_line(f"{kind}: {(KINDS[kind].__doc__ or '').splitlines()[0]}")
         for item in fields(KINDS[kind]):
-            _say(f"  {item.name} ({write_default(item)})")
-            _say(f"      {item.metadata['doc']}")
+            _print_line(f"  {item.name} ({format_default(item)})")
+            _print_line(f"      {item.metadata['doc']}")
 
     def status(self) -> None:
-        """Show what is accepted, in force on how many entries, and each pool's engines.
+        """Show the accepted configuration, how many entries have it in force, and each pool.
 
         Example: swifttrestle-ctl status
         """
         for stored in sorted(self._api.list(STATUS).items, key=lambda item: item.name):
-            for line in _show_status(stored.name, strip_nonce(stored)):
-                _say(line)
+            for line in _format_status(stored.name, strip_nonce(stored)):
+                _print_line(line)
 
     def drain(self, upstream: str) -> None:
         """Give an upstream no new work until `undrain`.
@@ -190,7 +192,7 @@
         self._declare_drain(upstream, "drain")
 
     def withdraw(self, upstream: str) -> None:
-        """Take an upstream out of use for good; status says when it is idle.
+        """Take an upstream out of use permanently; `status` shows when it is idle.
 
         Example: swifttrestle-ctl withdraw hall-a-engine-1
         """
@@ -203,56 +205,56 @@
         """
         stored = self._api.read("Drain", upstream)
         self._api.delete("Drain", upstream, stored.version)
-        _say(f"Drain/{upstream} deleted")
+        _print_line(f"Drain/{upstream} deleted")
 
     def delete(self, kind: str, name: str) -> None:
-        """Delete a resource; it stays accepted while another one needs it.
+        """Delete a resource; it stays accepted while another one refers to it.
 
         Example: swifttrestle-ctl delete Service old-chat
         """
         _check_kind(kind)
         stored = self._api.read(kind, name)
         self._api.delete(kind, name, stored.version)
-        _say(f"{kind}/{name} deleted")
+        _print_line(f"{kind}/{name} deleted")
 
     def dump(self, ops: str) -> None:
-        """Print the whole state of one process, given its operators' address.
+        """Print the state of one process, given its operators' address.
 
         Example: swifttrestle-ctl dump 127.0.0.1:9090
         """
-        _say(orjson.dumps(_read_state(ops), option=orjson.OPT_INDENT_2).decode())
+        _print_line(orjson.dumps(_read_state(ops), option=orjson.OPT_INDENT_2).decode())
 
     def duties(self, ops: str) -> None:
-        """Show capacity and usage as the gateway at an operators' address knows them.
+        """Show capacity and usage as known to the gateway at an operators' address.
 
-        For each service and zone: what stands, what is planned, the price a second. For each
-        window of usage: its state, and the requests of each workspace. The host that holds the
-        duties knows most; where another one is asked, its name is shown.
+        For each service and zone: the running and the planned upstreams and the price per second.
+        For each usage window: its state and the requests of each workspace. Only the host that
+        holds the duties knows all of it; other hosts show that host's name.
 
         Example: swifttrestle-ctl duties 10.1.0.35:9464
         """
         state = _read_state(ops)
         if "duties" not in state:
-            raise InvalidSettingError(f"ops: {ops!r} is no gateway; give the address of one")
+            raise InvalidSettingError(f"ops: {ops!r} is not a gateway; give the address of one")
         for line in describe_duties(state["duties"]):
-            _say(line)
+            _print_line(line)
 
     def hash(self, key: str) -> None:
         """Print the digest of a caller's key, for a Workspace resource.
 
         Example: swifttrestle-ctl hash "$KEY"
         """
-        _say(hashlib.sha256(str(key).encode()).hexdigest())
+        _print_line(hashlib.sha256(str(key).encode()).hexdigest())
 
     def _declare_drain(self, upstream: str, mode: str) -> None:
         self._api.read("Upstream", upstream)
         stored = read_or_none(self._api, "Drain", upstream)
         version = stored.version if stored else 0
         write_once(self._api, "Drain", upstream, {"mode": mode}, version)
-        _say(f"Drain/{upstream} {mode}")
+        _print_line(f"Drain/{upstream} {mode}")
 
-    def _check_together(self, documents: list[Document]) -> None:
-        """Check the files together with what stands already; raise before any write."""
+    def _check_references(self, documents: list[Document]) -> None:
+        """Validate the files together with the stored resources, before any write."""
         merged = {}
         for kind in KINDS:
             for item in self._api.list(kind).items:
@@ -263,9 +265,11 @@
             group_resources(resource for resource in parsed if resource is not None)
         )
         paths = {document.key: document.path for document in documents}
-        mine = [f"{paths[fault.resource]}: {fault}" for fault in faults if fault.resource in paths]
-        if mine:
-            raise InvalidResourceError("\n".join(mine))
+        errors = [
+            f"{paths[fault.resource]}: {fault}" for fault in faults if fault.resource in paths
+        ]
+        if errors:
+            raise InvalidResourceError("\n".join(errors))
 
     def _check_versions(
         self, documents: list[Document], current: dict[str, StoredObject | None]
@@ -278,17 +282,17 @@
             if found != document.version:
                 raise ConflictError(
                     f"{document.path}: {document.key} was read at version {document.version} "
-                    f"and stands at {found} now; get it again, then edit and apply"
+                    f"and is at version {found} now; get it again, then edit and apply"
                 )
 
     def _wait_in_force(self, documents: list[Document], seconds: float) -> None:
-        give_up = read_boottime_seconds() + seconds
+        deadline = read_boottime_seconds() + seconds
         wanted = {d.key: parse_resource(d.kind, d.name, d.spec).unwrap().spec() for d in documents}
-        while read_boottime_seconds() < give_up:
+        while read_boottime_seconds() < deadline:
             if self._is_in_force(wanted):
-                _say("accepted and in force at every entry")
+                _print_line("accepted and in force at every entry")
                 return
-            time.sleep(POLL_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
         raise InvalidResourceError(f"not in force everywhere after {seconds:g} s; see `status`")
 
     def _is_in_force(self, wanted: dict[str, dict]) -> bool:
@@ -316,12 +320,12 @@
 
 
 def _read_state(ops: str) -> Any:
-    """Return the whole state of one process, given its operators' address."""
+    """Return the state dump of one process, given its operators' address."""
     response = make_client(5.0).request("GET", f"http://{ops}/debug/state")
     return orjson.loads(response.data)
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
@@ -339,7 +343,7 @@
     return str(value)
 
 
-def _show_status(name: str, status: dict) -> Iterator[str]:
+def _format_status(name: str, status: dict) -> Iterator[str]:
     if name == "config":
         entries = status["entries"]
         for shard, epoch in sorted(status["epochs"].items()):
@@ -356,12 +360,12 @@
 
 
 def main() -> None:
-    """Run the console script; errors end it with status 1 and one message."""
+    """Run the console script; an error is printed as one message and exits with status 1."""
     try:
         fire.Fire(Ctl, name="swifttrestle-ctl")
     except SwifttrestleError as error:
         sys.stderr.write(f"swifttrestle-ctl: {error}\n")
         sys.exit(EXIT_REFUSED)
     except urllib3.exceptions.HTTPError as error:
-        sys.stderr.write(f"swifttrestle-ctl: {type(error).__name__}: no answer from there\n")
+        sys.stderr.write(f"swifttrestle-ctl: {type(error).__name__}: no response\n")
         sys.exit(EXIT_REFUSED)
--- a/src/swifttrestle/errors.py
+++ b/src/swifttrestle/errors.py
@@ -1,13 +1,13 @@
-"""All exceptions of the system, each with its numbered result code."""
+"""The exceptions of the system, each with its numbered result code."""
 
 from swifttrestle.codes import TABLE, Code, Ran
 
-# Characters of a wrong value that a message shows.
-SHOWN_VALUE = 80
+# Longest part of an invalid value that a message shows.
+MAX_SHOWN_CHARS = 80
 
 
 class SwifttrestleError(Exception):
-    """Base of every error raised on purpose; `code` is its result code."""
+    """Base class of the system's errors; `code` is the result code."""
 
     code = Code.BAD_REQUEST
 
@@ -17,13 +17,13 @@
 
 
 class RefusedError(SwifttrestleError):
-    """A caller's request gets this final answer.
+    """A request is refused, or failed, with this response to its caller.
 
-    `retry_after` is in seconds, or None where coming back would not help.
+    `retry_after` is in seconds, or None if a retry would not help.
     """
 
     def __init__(self, code: Code, message: str, retry_after: float | None = None) -> None:
-        """Keep the code, the message and the time to come back."""
+        """Store the code, the message and the time after which to retry."""
         super().__init__(message)
         self.code = code
         self.message = message
@@ -31,24 +31,24 @@
 
     @property
     def ran(self) -> Ran:
-        """Whether the request ran, as the table says for this code."""
+        """Whether the request ran, by the table of result codes."""
         return TABLE[self.code].ran or Ran.NOT_RUN
 
 
 class InvalidSettingError(SwifttrestleError):
-    """A flag or environment variable is wrong; the message names it, its value and the mend."""
+    """A flag or environment variable is invalid; the message has its name, value and the fix."""
 
     code = Code.INVALID_SETTING
 
 
 class InvalidResourceError(SwifttrestleError):
-    """A resource has a bad field; the message names the place, the field, the value, the mend."""
+    """A resource is invalid; the message has the place, the field, the value and the fix."""
 
     code = Code.INVALID_RESOURCE
 
 
 class ConflictError(SwifttrestleError):
-    """A conditional update met another version."""
+    """A conditional update found another version."""
 
     code = Code.CONFLICT
 
@@ -60,63 +60,63 @@
 
 
 class PlatformUnavailableError(SwifttrestleError):
-    """The object API did not answer; a write may have taken effect all the same."""
+    """The object API did not respond; a write may still have taken effect."""
 
     code = Code.PLATFORM_UNAVAILABLE
 
 
 class RateLimitedError(PlatformUnavailableError):
-    """The object API refused for its rate limit; nothing took effect."""
+    """The object API refused a call because of its rate limit; nothing took effect."""
 
     code = Code.PLATFORM_RATE_LIMITED
 
 
 class BadPlatformAnswerError(PlatformUnavailableError):
-    """The object API's answer cannot be read; it counts as no answer."""
+    """The response of the object API is malformed; it counts as no response."""
 
     code = Code.BAD_PLATFORM_ANSWER
 
 
 class BadEntryError(BadPlatformAnswerError):
-    """An entry of the store cannot be taken; `field`, `value` and `reason` say why."""
+    """An entry of the store is malformed; `field`, `value` and `reason` tell how."""
 
     code = Code.BAD_ENTRY
 
     def __init__(self, what: str, field: str, value: object, reason: str) -> None:
-        """Keep what was wrong; the message shows the value as far as it fits a line."""
-        shown = repr(value)[:SHOWN_VALUE]
-        super().__init__(f"{what} cannot be read: {field} is {shown}: {reason}")
+        """Store the invalid field; the message shows the value up to MAX_SHOWN_CHARS."""
+        shown_value = repr(value)[:MAX_SHOWN_CHARS]
+        super().__init__(f"{what} cannot be read: {field} is {shown_value}: {reason}")
         self.field = field
         self.value = value
         self.reason = reason
 
 
 class OldEpochError(PlatformUnavailableError):
-    """An answer was made before the store came back from a copy; it says nothing any more."""
+    """A response precedes the restore of the store from a backup, so it is outdated."""
 
     code = Code.OLD_EPOCH
 
 
 class HistoryGoneError(SwifttrestleError):
-    """A watch asked for changes that the platform has forgotten; list anew."""
+    """A watch asked for changes that the store no longer keeps; list the objects again."""
 
     code = Code.NOT_FOUND
 
 
 class LeaseLostError(SwifttrestleError):
-    """An act needed a lease that is not held any more."""
+    """An operation needed a lease that is no longer held."""
 
     code = Code.LEASE_LOST
 
 
 class StaleTokenError(SwifttrestleError):
-    """An engine has seen a newer fencing token; a newer holder exists."""
+    """An engine has seen a newer fencing token, so the lease has a newer holder."""
 
     code = Code.STALE_TOKEN
 
 
 class FrameError(SwifttrestleError):
-    """A peer frame is too large, cut short or not a known message."""
+    """A peer frame is too large, truncated or not a known message."""
 
     code = Code.BAD_FRAME
 
@@ -128,73 +128,73 @@
 
 
 class UpstreamError(SwifttrestleError):
-    """An upstream call failed; `sent` says whether a byte of the request may have gone out."""
+    """An upstream call failed; `sent` tells whether a byte of the request may have been sent."""
 
     code = Code.UPSTREAM_BROKEN
 
     def __init__(self, message: str, sent: bool = False, retry_after: float = 0.0) -> None:
-        """Keep how far the call had come and, in seconds, when the upstream wants to be asked."""
+        """Store whether the request may have been sent; `retry_after` is in seconds."""
         super().__init__(message)
         self.sent = sent
         self.retry_after = retry_after
 
 
 class UpstreamBusyError(UpstreamError):
-    """The upstream refused for load, before running anything."""
+    """The upstream refused because of load, before running anything."""
 
     code = Code.UPSTREAM_BUSY
 
 
 class UpstreamHeldError(UpstreamError):
-    """The upstream takes nothing now by its own word, so that nothing was sent to it."""
+    """The upstream accepts no requests for now, as it has announced, so nothing was sent."""
 
     code = Code.UPSTREAM_HELD
 
     def __init__(self, message: str, seconds: float) -> None:
-        """Keep after how many seconds it may take a request."""
+        """Store after how many seconds it may accept a request."""
         super().__init__(message, sent=False, retry_after=seconds)
 
 
 class UpstreamLeavingError(UpstreamError):
-    """The upstream refused because it is leaving or away, before running anything."""
+    """The upstream refused because it is leaving or unavailable, before running anything."""
 
     code = Code.UPSTREAM_LEAVING
 
 
 class UpstreamBrokenError(UpstreamError):
-    """The upstream could not be reached, broke off or stalled."""
+    """The upstream could not be reached, disconnected or stalled."""
 
     code = Code.UPSTREAM_BROKEN
 
 
 class UpstreamUnreachedError(UpstreamBrokenError):
-    """No connection came up; `refused` where the other end said so, else it was silent."""
+    """No connection was established; `refused` tells a refusal from a timeout."""
 
     def __init__(self, message: str, refused: bool) -> None:
-        """Keep whether anybody answered; no byte of the request has gone out."""
+        """Store whether the connection was refused; no byte of the request was sent."""
         super().__init__(message, sent=False)
         self.refused = refused
 
 
 class UpstreamSilentError(UpstreamBrokenError):
-    """The upstream did not answer in time, on a connection that still stood."""
+    """The upstream did not respond in time on an open connection."""
 
     def __init__(self, message: str) -> None:
-        """Count as sent: the request may be running there still."""
+        """Mark the request as sent, since it may still be running."""
         super().__init__(message, sent=True)
 
 
 class FailedByUpstreamError(UpstreamBrokenError):
-    """A repeatable request ran and failed at its upstream; another one may do better."""
+    """A repeatable request ran and failed at its upstream; another one may succeed."""
 
 
 class CrossedAnswerError(UpstreamBrokenError):
-    """The upstream answered another request's id, attempt or offset."""
+    """The response has the id, attempt or offset of another request."""
 
     code = Code.CROSSED_ANSWER
 
 
 class CallerGoneError(SwifttrestleError):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before the response was complete."""
 
     code = Code.CALLER_GONE
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: one process on each host of the platform, serving callers and sharing duties."""
+"""The gateway: the process on each platform host that forwards callers' requests to upstreams."""
 
 import asyncio
 import gc
@@ -45,20 +45,20 @@
     HostSettings,
     load_host_settings,
 )
-from swifttrestle.platform.store import SILENCE_MS, ObjectStore
+from swifttrestle.platform.store import UNACKNOWLEDGED_MS, ObjectStore
 
 EXIT_BAD_SETTING = 2
-# The port that deploy/system.toml names to the platform.
+# The port that deploy/system.toml declares to the platform.
 METRICS_PORT = 9464
-# Seconds before the platform's hard stop at which the process ends in any case.
-END_MARGIN_SECONDS = 0.4
-# Objects that may be made between two collections of garbage; the default of 700 costs a
-# noticeable share of a small host's processor.
+# Seconds before the platform kills the process at which it exits even with open requests.
+SHUTDOWN_MARGIN_SECONDS = 0.4
+# Allocations between garbage collections; Python's default of 700 costs a noticeable share of a
+# small host's processor.
 GC_THRESHOLD = 50_000
 
 
 class Gateway:
-    """All parts of one process."""
+    """The components of one gateway process."""
 
     def __init__(
         self,
@@ -66,9 +66,9 @@
         metrics_port: int = METRICS_PORT,
         incarnation: int | None = None,
     ) -> None:
-        """Put the parts together; `run` starts them.
+        """Create the components; `run` starts them.
 
-        The incarnation tells this start from others of the same host, by default by the time.
+        `incarnation` distinguishes this start from others of the host; default: the current time.
         """
         self._settings = settings
         self._metrics_port = metrics_port
@@ -77,22 +77,24 @@
         bounds = settings.bounds
         self._metrics = Metrics()
         self._fleet = Fleet()
-        self._budgets = RetryBudgets(bounds.retry_share, bounds.retry_extra, bounds.retry_window)
+        self._budgets = RetryBudgets(
+            bounds.retry_share, bounds.retry_extra, bounds.retry_window_seconds
+        )
         self._state = GatewayState(settings.zone, self._fleet, self._budgets, self._metrics, rng)
-        self._skipped = SkippedEntries(self._count_skipped)
-        self._store = ObjectStore(settings.store, ConnectionPool(SILENCE_MS))
-        self._store.epochs.on_return = self._note_store_return
+        self._skipped_entries = SkippedEntries(self._count_skipped_entry)
+        self._store = ObjectStore(settings.store, ConnectionPool(UNACKNOWLEDGED_MS))
+        self._store.epochs.on_return = self._handle_store_return
         self._configuration = ConfigurationWatcher(
             self._store,
             rng,
-            self._note_configuration,
+            self._apply_configuration,
             lambda: len(self._gossip.live_hosts()),
-            self._skipped,
+            self._skipped_entries,
         )
         socket = PeerSocket(settings.ip, settings.internal_port)
-        me = Member(settings.host, settings.ip, settings.zone, settings.link_mbps)
+        own_member = Member(settings.host, settings.ip, settings.zone, settings.link_mbps)
         self._gossip = Gossip(
-            me,
+            own_member,
             incarnation,
             socket,
             self._fleet,
@@ -100,9 +102,9 @@
             self._state.sent_prompts,
             self._configuration,
             rng,
-            self._note_peers,
+            self._handle_peer_change,
         )
-        relay = ListingRelay(
+        listing_relay = ListingRelay(
             socket,
             settings.host,
             self._gossip.list_members,
@@ -112,10 +114,10 @@
             self._store,
             self._fleet,
             rng,
-            relay,
+            listing_relay,
             self._serve_queues,
             self._gossip.find_store_up_since,
-            self._skipped,
+            self._skipped_entries,
         )
         self._gossip.count_store_seconds = self._discovery.count_store_seconds
         self._booker = ScheduledBooker(
@@ -133,7 +135,7 @@
             settings.host,
             self._gossip.list_members,
             rng,
-            self._skipped,
+            self._skipped_entries,
         )
         self._crashes = QuarantineRelay(
             socket,
@@ -147,7 +149,7 @@
         self._freshness_monitor = FreshnessMonitor(
             self._configuration,
             socket,
-            me,
+            own_member,
             self._gossip.list_members,
             self._gossip.fetch_later,
             self._true_time,
@@ -164,8 +166,8 @@
             self._discovery,
             self._freshness_monitor,
             self._true_time,
-            self._find_configuration,
-            self._skipped,
+            self._get_configuration,
+            self._skipped_entries,
         )
         self._handler = GatewayHandler(
             self._state,
@@ -188,11 +190,11 @@
             settings.zone, self._fleet, self._state.pool, self._booker.schedules_engines, rng
         )
         self._listeners = Listeners()
-        # Whether this process has had the newest version of its peers in force.
+        # Whether the newest configuration version of the peers has been in force here.
         self._caught_up = False
         self._stopping = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._operators = OperatorPages(
+        self._operator_pages = OperatorPages(
             settings.host,
             self.is_ready,
             self._state,
@@ -204,13 +206,13 @@
         )
 
     async def run(self) -> None:
-        """Serve until a planned stop has ended."""
+        """Serve until a graceful shutdown has ended."""
         settings = self._settings
         await self._gossip.start([seed[0] for seed in settings.seeds])
         self._start(self._configuration.run())
         self._start(self._discovery.run())
         self._start(self._gossip.run())
-        self._start(self._gossip.register(self._store, self._skipped))
+        self._start(self._gossip.register(self._store, self._skipped_entries))
         self._start(self._booker.run())
         self._start(self._state.conditions.run())
         self._start(self._prompt_cache_loader.run())
@@ -221,10 +223,10 @@
             self._start(task)
         self._start(watch_settings_file(Path(os.environ.get(PATH_VARIABLE, "")), self.reload))
         await self._listeners.open_for_callers(settings.callers, self._handler)
-        ready = PageHandler({READY_PATH: self._operators.make_ready})
-        await self._listeners.open(settings.readiness, ready)
-        pages = self._operators.make_handler()
-        await self._listeners.open((settings.ip, self._metrics_port), pages)
+        readiness_handler = PageHandler({READY_PATH: self._operator_pages.make_ready})
+        await self._listeners.open(settings.readiness, readiness_handler)
+        operator_handler = self._operator_pages.make_handler()
+        await self._listeners.open((settings.ip, self._metrics_port), operator_handler)
         self._listeners.complete = True
         log_event("started", ip=settings.ip, zone=settings.zone)
         try:
@@ -235,31 +237,31 @@
 
     @property
     def config_version(self) -> int:
-        """The configuration version in force, 0 where none is known."""
+        """The configuration version in force, or 0 if there is none."""
         return self._configuration.version
 
     def list_instances(self) -> dict[str, Instance]:
-        """Return the upstreams that are known now, by instance."""
+        """Return the known upstream instances by name."""
         return self._fleet.instances
 
     def knows_instance(self, name: str) -> bool:
-        """Return whether an upstream's instance is in use."""
+        """Return whether an upstream instance is in use."""
         return self._fleet.knows(name)
 
     def is_ejected(self, name: str) -> bool:
-        """Return whether an instance is left out as broken now."""
+        """Return whether an instance is ejected as broken."""
         return self._state.ejector.is_ejected(name, asyncio.get_running_loop().time())
 
     def count_open_requests(self) -> int:
-        """Return this host's open requests at all upstreams."""
+        """Return the number of this host's open requests at all upstreams."""
         return sum(item.own.requests for item in self._fleet.instances.values())
 
     def count_peer_requests(self) -> int:
-        """Return the peers' open requests at all upstreams, as they last reported them."""
+        """Return the number of the peers' open requests at all upstreams, as last reported."""
         return sum(item.peers.requests for item in self._fleet.instances.values())
 
     def live_hosts(self) -> list[str]:
-        """Return the hosts whose gateways live, this one among them."""
+        """Return the hosts with a live gateway, including this one."""
         return self._gossip.live_hosts()
 
     def list_members(self) -> list[Member]:
@@ -267,11 +269,11 @@
         return list(self._gossip.list_members())
 
     def count_opened_connections(self) -> int:
-        """Return the connections to upstreams that were opened since the start."""
+        """Return the number of connections to upstreams that were opened since the start."""
         return self._state.pool.opened
 
     def stop(self) -> None:
-        """Begin a planned stop."""
+        """Begin a graceful shutdown."""
         self._stopping.set()
 
     def _close(self) -> None:
@@ -281,27 +283,27 @@
         self._gossip.close()
 
     async def _stop(self) -> None:
-        """Let the balancer learn, close politely, and wait for open requests."""
+        """Wait for the load balancer, close idle connections and wait for open requests."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        end = began + self._settings.bounds.stop - END_MARGIN_SECONDS
+        started_at = loop.time()
+        end = started_at + self._settings.bounds.stop - SHUTDOWN_MARGIN_SECONDS
         log_event("stopping", open=self._listeners.count_busy())
         self._gossip.announce_leaving()
-        await self._listeners.wait_for_learning(self._settings.bounds.stop / 2)
+        await self._listeners.wait_for_deregistration(self._settings.bounds.stop / 2)
         self._handler.stops_at = end
         await self._listeners.finish(end)
-        seconds = round(loop.time() - began, 2)
+        seconds = round(loop.time() - started_at, 2)
         log_event("stopped", cut=self._listeners.count_busy(), seconds=seconds)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._note_ended)
+        task.add_done_callback(self._handle_task_end)
 
-    def _note_ended(self, task: "asyncio.Task[None]") -> None:
+    def _handle_task_end(self, task: "asyncio.Task[None]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            # A duty that ended by a fault of the program must not fail in silence.
+            # Without the failed task the gateway would run on with stale state, so it stops.
             log_event("task failed", error=repr(task.exception()))
             WRITER.flush()
             self._stopping.set()
@@ -309,8 +311,8 @@
     def _serve_queues(self) -> None:
         self._booker.serve_queues()
 
-    def _note_configuration(self) -> None:
-        configuration = self._find_configuration()
+    def _apply_configuration(self) -> None:
+        configuration = self._get_configuration()
         if configuration is not None:
             self._fleet.declared = frozenset(configuration.services)
             self._fleet.traits = {
@@ -320,25 +322,25 @@
             }
         self._serve_queues()
 
-    def _count_skipped(self, kind: str, field: str) -> None:
+    def _count_skipped_entry(self, kind: str, field: str) -> None:
         self._metrics.count("entries_skipped_total", kind=kind, field=field)
 
-    def _note_peers(self) -> None:
-        live = self._gossip.live_hosts()
-        if len(live) > self._budgets.hosts:
-            # Hosts that lost each other may each have missed what the others know.
+    def _handle_peer_change(self) -> None:
+        live_hosts = self._gossip.live_hosts()
+        if len(live_hosts) > self._budgets.hosts:
+            # After a partition, hosts may have missed each other's crash reports.
             self._crashes.request_sync()
-        self._budgets.hosts = len(live)
+        self._budgets.hosts = len(live_hosts)
         self._serve_queues()
 
-    def _note_store_return(self) -> None:
-        """Take over that the store came back: read it anew, and write own entries again."""
-        later = self._rng.random() * RESTORE_SPREAD_SECONDS
-        asyncio.get_running_loop().call_later(later, self._configuration.reload_after_restore)
+    def _handle_store_return(self) -> None:
+        """After a restore of the store from a backup, read it and write own entries again."""
+        delay = self._rng.random() * RESTORE_SPREAD_SECONDS
+        asyncio.get_running_loop().call_later(delay, self._configuration.reload_after_restore)
         self._quarantine.note_change()
         self._start(self._gossip.restore_registration(self._store))
 
-    def _find_configuration(self) -> Configuration | None:
+    def _get_configuration(self) -> Configuration | None:
         table = self._configuration.table
         return table.configuration if table else None
 
@@ -348,38 +350,38 @@
         """Read the settings file again."""
         try:
             settings = load_host_settings()
-            log_event("settings read again", source="signal or changed file")
-            self._apply(settings)
+            log_event("settings read again", source="SIGHUP or changed file")
+            self._apply_settings(settings)
         except InvalidSettingError as error:
-            # The process goes on with the settings that it has.
+            # The current settings stay in use.
             log_event("settings not taken", reason=str(error))
 
-    def _apply(self, settings: HostSettings) -> None:
-        """Take over what may change while running: the bounds of repeats, and the seeds.
+    def _apply_settings(self, settings: HostSettings) -> None:
+        """Apply what may change at run time: the retry budget and the seeds.
 
-        Addresses cannot change under open connections; they count from the next start.
+        Changed addresses take effect at the next start.
         """
         if settings.callers != self._settings.callers or settings.store != self._settings.store:
-            log_event("settings kept", names=["listen", "platform"], reason="need a restart")
+            log_event("settings kept", names=["listen", "platform"], reason="restart required")
         bounds = settings.bounds
-        self._budgets.change(bounds.retry_share, bounds.retry_extra, bounds.retry_window)
+        self._budgets.change(bounds.retry_share, bounds.retry_extra, bounds.retry_window_seconds)
         self._gossip.add_seeds([seed[0] for seed in settings.seeds])
 
     # Pages.
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send callers here."""
-        known = self._configuration.table is not None and self._discovery.known
-        known = known and self._listeners.complete
-        self._caught_up = self._caught_up or (known and self._gossip.has_caught_up())
-        known = known and self._caught_up
-        # One that may not take keys would turn all of its callers away.
-        known = known and self._freshness_monitor.is_fresh()
-        return known and not self._stopping.is_set()
+        """Return whether the load balancer may send callers to this host."""
+        ready = self._configuration.table is not None and self._discovery.known
+        ready = ready and self._listeners.complete
+        self._caught_up = self._caught_up or (ready and self._gossip.has_caught_up())
+        ready = ready and self._caught_up
+        # A host that cannot confirm keys would refuse all callers.
+        ready = ready and self._freshness_monitor.is_fresh()
+        return ready and not self._stopping.is_set()
 
 
 def main() -> None:
-    """Run a gateway; a wrong setting ends it with its name, value and mend."""
+    """Run a gateway; an invalid setting is printed and exits with status 2."""
     try:
         settings = load_host_settings()
     except InvalidSettingError as error:
--- a/src/swifttrestle/internal/callbacks.py
+++ b/src/swifttrestle/internal/callbacks.py
@@ -1,5 +1,5 @@
-"""What stands in the place of a callback that nobody has set."""
+"""The default of optional callbacks."""
 
 
 def do_nothing(*_: object) -> None:
-    """Do nothing: nobody wants to know."""
+    """Do nothing."""
--- a/src/swifttrestle/internal/duty_report.py
+++ b/src/swifttrestle/internal/duty_report.py
@@ -1,14 +1,14 @@
-"""Lines for operators on capacity and usage, from a gateway's state dump."""
+"""The output of `swifttrestle-ctl duties`: capacity and usage from a gateway's state dump."""
 
 from collections.abc import Iterator
 from typing import Any
 
 
 def describe_duties(duties: dict[str, Any]) -> Iterator[str]:
-    """Return the lines of the part of a state dump that is on duties."""
+    """Yield the lines that describe the `duties` of a state dump."""
     if not duties["held_here"]:
         holder = next(iter(duties["candidates"]), "nobody")
-        yield f"the duties are held by {holder}; ask there for plans and for all hosts' counts"
+        yield f"the duties are held by {holder}; ask it for the plans and the counts of all hosts"
     for service, plan in sorted(duties["capacity"].items()):
         yield f"{service}: {plan['need']} needed without any one zone's reclaimable ones"
         for zone, item in sorted(plan["zones"].items()):
@@ -26,6 +26,6 @@
         for kind in ("lasting", "reclaimable")
     ]
     if item["none_to_be_had"]:
-        parts.append("no reclaimable one to be had")
+        parts.append("no reclaimable ones available")
     parts.append(f"{item['price_per_second']:g} a second")
     return ", ".join(parts)
--- a/src/swifttrestle/internal/explanation.py
+++ b/src/swifttrestle/internal/explanation.py
@@ -1,4 +1,4 @@
-"""The story of one request, told from the log lines of all hosts."""
+"""Reconstructs the timeline of one request from the log lines of all hosts."""
 
 import re
 from collections.abc import Iterable, Iterator, Sequence
@@ -10,44 +10,44 @@
 
 from swifttrestle.errors import NotFoundError
 
-# Seconds before a request's arrival in which a change of belief may explain what became of it:
-# the longest time that an upstream is left out, and some more.
-LOOK_BACK_SECONDS = 10.0
-# Seconds after a request's end in which it may still turn out that its upstream had crashed.
-LOOK_ON_SECONDS = 1.0
-# Events of a host that concern all of its requests.
+# Events this long before a request's arrival are still shown: more than the longest ejection of
+# an upstream.
+LOOKBACK_SECONDS = 10.0
+# Crashes of its upstream are shown for this long after a request's end.
+LOOKAHEAD_SECONDS = 1.0
+# Events of a host that may affect all of its requests.
 HOST_EVENTS = frozenset(
     (
         "started", "stopping", "stopped", "store lost", "store regained", "live hosts",
         "configuration skipped", "scheduler silent", "list watcher silent", "settings not taken",
     )
 )  # fmt: skip
-# Events about what a request did to upstreams, on any host.
+# Events about upstreams that crashed under a request, on any host.
 CRASH_EVENTS = frozenset(("upstream crashed", "request quarantined", "request acquitted"))
 _WORD = re.compile(r"[\w.-]+")
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line of a gateway's log; `time` is the host's time of day in seconds."""
+    """One line of a gateway's log; `time` is in Unix seconds by the host's clock."""
 
     time: float
     host: str
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
 
-    def names(self) -> set[str]:
+    def instances(self) -> set[str]:
         """Return the upstream instances that the line is about."""
         return {str(self.fields[key]) for key in ("instance", "engine") if key in self.fields}
 
-    def request_names(self) -> set[str]:
-        """Return the names of requests, whatever their ids, that the line is about."""
-        names = self.fields.get("open", [self.fields.get("name")])
-        return {str(name) for name in names} if isinstance(names, list) else set()
+    def request_fingerprints(self) -> set[str]:
+        """Return the fingerprints of the requests that the line is about."""
+        fingerprints = self.fields.get("open", [self.fields.get("name")])
+        return {str(item) for item in fingerprints} if isinstance(fingerprints, list) else set()
 
 
 def read_log_lines(folder: Path) -> Iterator[LogLine]:
-    """Return the lines of all files below a folder; what is no line of a gateway is left out."""
+    """Yield the log lines of all files below a folder; other lines are skipped."""
     for path in sorted(item for item in folder.rglob("*") if item.is_file()):
         for raw in path.read_bytes().splitlines():
             line = _read_line(raw)
@@ -66,55 +66,61 @@
 
 
 def explain_request(lines: Iterable[LogLine], request_id: str) -> list[str]:
-    """Return the story of a request in order of time; raise NotFoundError where no line has it.
+    """Return a request's timeline, one event a line; raise NotFoundError if no line has its id.
 
-    Times are seconds from its arrival, by each host's own clock.
+    Times are in seconds from the request's arrival, by each host's own clock.
     """
-    known = list(lines)
-    mine = [
-        item for item in known if item.event == "request" and item.fields.get("id") == request_id
+    all_lines = list(lines)
+    matches = [
+        item
+        for item in all_lines
+        if item.event == "request" and item.fields.get("id") == request_id
     ]
-    if not mine:
+    if not matches:
         raise NotFoundError(
-            f"no line tells of request {request_id!r}; give the folder that has the logs of all "
-            "hosts, and look for lines_dropped in them"
+            f"no log line has request {request_id!r}; give a folder with the logs of all hosts, "
+            "and look for lines_dropped in them"
         )
-    story: list[str] = []
-    for request in mine:
-        story += _explain_one(request, known)
-    return story
+    timeline: list[str] = []
+    for request in matches:
+        timeline += _build_timeline(request, all_lines)
+    return timeline
 
 
-def _explain_one(request: LogLine, known: Sequence[LogLine]) -> list[str]:
-    arrived = request.time - float(request.fields.get("ms", 0)) / 1000
+def _build_timeline(request: LogLine, all_lines: Sequence[LogLine]) -> list[str]:
+    arrived_at = request.time - float(request.fields.get("ms", 0)) / 1000
     steps = [str(step) for step in request.fields.get("steps") or ()]
-    named = {word for step in steps for word in _WORD.findall(step)} | request.request_names()
-    told = [(request.time - arrived, f"{request.host}: {_describe_end(request)}")]
-    told += [_read_step(request.host, step) for step in steps]
-    for line in known:
-        if _concerns(line, request, named, arrived):
-            told.append((line.time - arrived, f"{line.host}: {line.event} {_list_fields(line)}"))
-    told.append((0.0, f"{request.host}: request {request.fields.get('id')} arrives"))
-    return [f"{at:+9.3f} s  {text}" for at, text in sorted(told)]
-
-
-def _concerns(line: LogLine, request: LogLine, named: set[str], arrived: float) -> bool:
+    names = {
+        word for step in steps for word in _WORD.findall(step)
+    } | request.request_fingerprints()
+    events = [(request.time - arrived_at, f"{request.host}: {_describe_end(request)}")]
+    events += [_read_step(request.host, step) for step in steps]
+    for line in all_lines:
+        if _is_relevant(line, request, names, arrived_at):
+            events.append(
+                (line.time - arrived_at, f"{line.host}: {line.event} {_list_fields(line)}")
+            )
+    events.append((0.0, f"{request.host}: request {request.fields.get('id')} arrives"))
+    return [f"{at:+9.3f} s  {text}" for at, text in sorted(events)]
+
+
+def _is_relevant(line: LogLine, request: LogLine, names: set[str], arrived_at: float) -> bool:
     if line.event in CRASH_EVENTS:
-        # A quarantine lasts for minutes, so that what led to it may be long before.
-        told = line.time <= request.time + LOOK_ON_SECONDS
-        return told and bool(line.request_names() & named)
+        # A quarantine lasts for minutes, so the crashes before it have no lower time limit.
+        in_time = line.time <= request.time + LOOKAHEAD_SECONDS
+        return in_time and bool(line.request_fingerprints() & names)
     if line.event == "request" or line.time > request.time:
         return False
     if line.event == "configuration in force":
         version = line.fields.get("version")
         return line.host == request.host and version == request.fields.get("config")
-    if line.time < arrived - LOOK_BACK_SECONDS:
+    if line.time < arrived_at - LOOKBACK_SECONDS:
         return False
-    return bool(line.names() & named) or _is_of_host(line, request)
+    return bool(line.instances() & names) or _is_host_event(line, request)
 
 
-def _is_of_host(line: LogLine, request: LogLine) -> bool:
-    """Return whether a line is about the request's host, and so about all requests there."""
+def _is_host_event(line: LogLine, request: LogLine) -> bool:
+    """Return whether a line may concern all requests of the request's host."""
     return line.host == request.host and line.event in HOST_EVENTS
 
 
--- a/src/swifttrestle/internal/listeners.py
+++ b/src/swifttrestle/internal/listeners.py
@@ -1,4 +1,4 @@
-"""The addresses of a gateway that take connections, from the start to the end of a planned stop."""
+"""The listening sockets of a gateway, up to the end of a graceful shutdown."""
 
 import asyncio
 
@@ -9,55 +9,55 @@
 )
 from swifttrestle.internal.transport.upstream import Address
 
-# Connections that may wait to be accepted.
+# Most connections that wait to be accepted.
 BACKLOG = 1024
-# Seconds after a planned stop begins before idle connections are closed: the balancer asks
-# once a second and takes a host out after two misses.
-LEARN_SECONDS = 2.5
-# Seconds between looks at open work while stopping.
-STOP_LOOK_SECONDS = 0.05
+# Seconds from the start of a graceful shutdown until idle connections are closed: the load
+# balancer checks readiness once a second and removes a host after two failures.
+DEREGISTRATION_SECONDS = 2.5
+# Seconds between checks for open requests during the shutdown.
+STOP_POLL_SECONDS = 0.05
 
 
 class Listeners:
-    """Callers' connections, and those of the balancer and of operators."""
+    """Accepts connections of callers, and those of the load balancer and of operators."""
 
     def __init__(self) -> None:
-        """Start without an address."""
+        """Start without listening."""
         self._callers = ConnectionSet()
         self._others = ConnectionSet()
         self._servers: list[asyncio.Server] = []
-        # Whether all addresses take connections: readiness promises that to whoever asks.
+        # Whether all addresses accept connections; a host is not ready before.
         self.complete = False
 
     async def open_for_callers(self, address: Address, handler: RequestHandler) -> None:
-        """Take callers' connections at an address; raise OSError."""
+        """Listen for callers at an address; raise OSError."""
         await self._open(address, handler, self._callers)
 
     async def open(self, address: Address, handler: RequestHandler) -> None:
-        """Take other connections at an address; raise OSError."""
+        """Listen for other connections at an address; raise OSError."""
         await self._open(address, handler, self._others)
 
     def count_busy(self) -> int:
-        """Return the callers' connections that wait for an answer."""
+        """Return the number of callers' connections that wait for a response."""
         return self._callers.count_busy()
 
-    async def wait_for_learning(self, longest: float) -> None:
-        """Answer callers for the last time on each connection, until nobody new is sent here.
+    async def wait_for_deregistration(self, max_seconds: float) -> None:
+        """Wait until the load balancer sends no new connections, at most `max_seconds`.
 
-        Answers from now on end their connections, so that callers go elsewhere.
+        From now on each response closes its connection, so that callers connect elsewhere.
         """
         self._callers.closing = True
-        await asyncio.sleep(min(LEARN_SECONDS, longest))
+        await asyncio.sleep(min(DEREGISTRATION_SECONDS, max_seconds))
 
     async def finish(self, end: float) -> None:
-        """Close what is idle, and wait for open requests until the loop's time `end`."""
+        """Close idle connections, then wait for open requests until the loop time `end`."""
         loop = asyncio.get_running_loop()
         self._callers.close_idle()
         while self.count_busy() and loop.time() < end:
-            await asyncio.sleep(STOP_LOOK_SECONDS)
+            await asyncio.sleep(STOP_POLL_SECONDS)
 
     def close(self) -> None:
-        """Take no connections any more."""
+        """Stop accepting connections."""
         for server in self._servers:
             server.close()
 
--- a/src/swifttrestle/internal/logs.py
+++ b/src/swifttrestle/internal/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by loguru: one line for each change of state, text or JSON lines."""
+"""Structured logs through loguru, as text or JSON lines."""
 
 import sys
 
@@ -19,12 +19,12 @@
 
 
 def log_info(event: str, **fields: object) -> None:
-    """Log one change of state with its fields."""
+    """Log a change of state."""
     logger.bind(**fields).info(event)
 
 
 def log_warning(event: str, **fields: object) -> None:
-    """Log one fault that an operator should look at."""
+    """Log a fault that may need an operator."""
     logger.bind(**fields).warning(event)
 
 
@@ -33,8 +33,8 @@
 
 
 def _format_text(record: dict) -> str:
-    # loguru formats the returned template with the record, so field values are passed
-    # through `extra` and never pasted into the template, where braces would be read.
+    # loguru formats the returned template with the record. Field values are passed through
+    # `extra`, since braces in the template itself would be interpreted.
     pairs = " ".join(f"{key}={{extra[{key}]!s}}" for key in _fields(record["extra"]))
     return TEXT_FORMAT + (" " + pairs if pairs else "") + "\n{exception}"
 
--- a/src/swifttrestle/internal/loop.py
+++ b/src/swifttrestle/internal/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a gateway: its time goes on while the machine is suspended."""
+"""The event loop of a gateway, whose clock includes suspended time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,15 +9,15 @@
 T = TypeVar("T")
 
 
-class SteadyLoop(asyncio.SelectorEventLoop):
-    """A loop whose timers, time-outs and ages count suspended seconds."""
+class BoottimeLoop(asyncio.SelectorEventLoop):
+    """An event loop whose timers and timeouts include suspended time."""
 
     def time(self) -> float:
-        """Return the loop's time in seconds."""
+        """Return seconds since boot."""
         return read_boottime_seconds()
 
 
 def run_in_loop(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end in such a loop; return its result."""
-    with asyncio.Runner(loop_factory=SteadyLoop) as runner:
+    """Run a coroutine in a BoottimeLoop; return its result."""
+    with asyncio.Runner(loop_factory=BoottimeLoop) as runner:
         return runner.run(work)
--- a/src/swifttrestle/internal/metrics.py
+++ b/src/swifttrestle/internal/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and gauges of one process, kept by aioprometheus and read as a text page.
+"""Counters and gauges of one process, exported in the Prometheus text format.
 
-aioprometheus is not thread-safe and its counters cost several microseconds each, so the
-hot path counts in plain integers under one lock, and the page copies them over when read.
+aioprometheus is not thread-safe and its counters cost several microseconds each, so the hot
+path counts in plain numbers under one lock, which are copied when the page is rendered.
 """
 
 import threading
@@ -11,8 +11,8 @@
 from aioprometheus import Counter, Gauge, Registry
 from aioprometheus.formats import text
 
-# Upper bounds of the latency buckets, in seconds: from one hop to the longest deadlines.
-BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
+# Upper bounds of the histogram buckets, from one network hop to the longest deadlines.
+BUCKET_BOUNDS_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
 
 Labels = tuple[tuple[str, str], ...]
 
@@ -21,7 +21,7 @@
     """All counters and gauges of one process."""
 
     def __init__(self) -> None:
-        """Start with no counter and no gauge."""
+        """Start empty."""
         self._lock = threading.Lock()
         self._counts: dict[tuple[str, Labels], float] = defaultdict(float)
         self._gauges: dict[str, tuple[str, Callable[[], float]]] = {}
@@ -33,8 +33,8 @@
             self._counts[key] += amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Count a duration in each bucket that holds it, in the usual form of a histogram."""
-        for bound in BUCKETS:
+        """Add a duration to a histogram."""
+        for bound in BUCKET_BOUNDS_SECONDS:
             if seconds <= bound:
                 self.count(f"{name}_bucket", 1, le=f"{bound:g}", **labels)
         self.count(f"{name}_bucket", 1, le="+Inf", **labels)
@@ -42,7 +42,7 @@
         self.count(f"{name}_count", 1, **labels)
 
     def add_gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
-        """Show the value of a function on the page."""
+        """Export the value that `read` returns when the page is rendered."""
         self._gauges[name] = (doc, read)
 
     def total(self, name: str) -> float:
@@ -51,10 +51,10 @@
             return sum(value for (key, _), value in self._counts.items() if key == name)
 
     def snapshot(self) -> dict[str, float]:
-        """Return all counters, labels written into the names."""
+        """Return all counters, with the labels as part of the name."""
         with self._lock:
             items = list(self._counts.items())
-        return {_write_name(name, labels): value for (name, labels), value in items}
+        return {_format_name(name, labels): value for (name, labels), value in items}
 
     def render(self) -> bytes:
         """Return the page in the Prometheus text format."""
@@ -71,7 +71,7 @@
         return text.TextFormatter().marshall(registry)
 
 
-def _write_name(name: str, labels: Labels) -> str:
+def _format_name(name: str, labels: Labels) -> str:
     if not labels:
         return name
     return name + "{" + ",".join(f"{key}={value}" for key, value in labels) + "}"
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -1,4 +1,4 @@
-"""What a gateway shows the balancer and its operators: readiness, metrics, and its state."""
+"""HTTP pages of a gateway for the load balancer and operators: readiness, metrics and state."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 from swifttrestle.platform.store import ObjectStore
 
 READY_PATH = b"/v1/ready"
-# An operator posts here, with the query name=NAME, to have all hosts let a request go again.
+# A POST with the query name=NAME ends the quarantine of a request on all hosts.
 LIFT_PATH = b"/debug/quarantine/lift"
 
 
@@ -36,7 +36,7 @@
         duties: Duties,
         store: ObjectStore,
     ) -> None:
-        """Show what these parts know."""
+        """Serve the state of these components."""
         self._host = host
         self._is_ready = is_ready
         self._state = parts
@@ -55,7 +55,7 @@
         )
 
     def make_ready(self) -> Page:
-        """Return what the balancer asks for."""
+        """Return the readiness page of the load balancer."""
         return Page(200 if self._is_ready() else 503)
 
     def _make_metrics(self) -> Page:
@@ -77,13 +77,13 @@
 
     def _lift_quarantine(self, query: bytes) -> Page:
         try:
-            name = parse_fingerprint(parse_qs(query.decode("latin-1")).get("name", [""])[0])
+            fingerprint = parse_fingerprint(parse_qs(query.decode("latin-1")).get("name", [""])[0])
         except ValueError as error:
             return Page(400, content=f"name: {error}\n".encode())
-        if self._state.guard.quarantine.find(name) is None:
-            return Page(404, content=f"name: {name} is not known; see /debug/state\n".encode())
-        self._state.guard.clear_crashes(name, "an operator")
-        return Page(200, content=f"{name} is let go\n".encode())
+        if self._state.guard.quarantine.find(fingerprint) is None:
+            return Page(404, content=f"name: {fingerprint} is unknown; see /debug/state\n".encode())
+        self._state.guard.clear_crashes(fingerprint, "an operator")
+        return Page(200, content=f"{fingerprint} is no longer quarantined\n".encode())
 
     def _add_gauges(self) -> None:
         gauges: list[tuple[str, str, Callable[[], float]]] = [
--- a/src/swifttrestle/internal/pages.py
+++ b/src/swifttrestle/internal/pages.py
@@ -1,4 +1,4 @@
-"""Small pages for the platform and for operators: readiness, metrics, a dump of the state."""
+"""Request handler for small pages, such as readiness, metrics and the state dump."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -9,40 +9,42 @@
 
 @dataclass(frozen=True)
 class Page:
-    """One page's answer."""
+    """The response of one page."""
 
     status: int
     content_type: bytes = b"text/plain"
     content: bytes = b""
 
 
-Act = Callable[[bytes], Page]
+Action = Callable[[bytes], Page]
 
 
 class PageHandler(RequestHandler):
-    """Serves pages by path, and does what operators post."""
+    """Serves pages by path and runs actions on POST."""
 
     def __init__(
-        self, pages: Mapping[bytes, Callable[[], Page]], acts: Mapping[bytes, Act] | None = None
+        self,
+        pages: Mapping[bytes, Callable[[], Page]],
+        actions: Mapping[bytes, Action] | None = None,
     ) -> None:
-        """Serve each path by its function; call those of `acts` with the query of a POST."""
+        """Map paths to page functions; `actions` are called with the query string of a POST."""
         self._pages = pages
-        self._acts = acts or {}
+        self._actions = actions or {}
 
     def limits(self) -> Limits:
-        """Return the usual limits."""
+        """Return the default limits."""
         return Limits()
 
     async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        """Answer with a page, or 404; 405 for what has to be posted."""
+        """Respond with the page, 404 for an unknown path, or 405 for an action without POST."""
         page = self._find_page(request)
         headers = [(b"Content-Type", page.content_type)]
         await reply.send_whole(page.status, headers, page.content)
 
     def _find_page(self, request: IncomingRequest) -> Page:
         path, _, query = request.head.target.partition(b"?")
-        act = self._acts.get(path)
-        if act is not None:
-            return act(query) if request.head.method == b"POST" else Page(405)
-        make = self._pages.get(path)
-        return make() if make else Page(404)
+        action = self._actions.get(path)
+        if action is not None:
+            return action(query) if request.head.method == b"POST" else Page(405)
+        make_page = self._pages.get(path)
+        return make_page() if make_page else Page(404)
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -1,4 +1,4 @@
-"""What entry and controller share: identity, object cache, peers, operators' port, stopping."""
+"""Base of the entry and controller processes: identity, object cache, peers, operators' port."""
 
 import random
 import sys
@@ -39,7 +39,7 @@
 
 
 class Process:
-    """The parts that every process of the system has."""
+    """The components that entry and controller processes share."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         counter: OpenRequestCounter,
         closings: ClosingTable,
     ) -> None:
-        """Bind the peer port and prepare; `start` begins."""
+        """Bind the peer and operators' ports; `start` starts serving."""
         setup_logs(settings.name, settings.log_format, settings.log_level)
         self.settings = settings
         self.clock = MonotonicClock()
@@ -88,18 +88,18 @@
         self.ops = make_server(parse_address(settings.ops_listen), self._ops_handler, OPS_THREADS)
 
     def add_dump(self, name: str, read: Callable[[], Any]) -> None:
-        """Add one part to the dump of this process's state."""
+        """Add a section to the state dump, read with `read`."""
         self._ops_handler.parts[name] = read
 
     def start(self) -> None:
-        """Register, then follow the platform and the peers; serve the operators' port."""
+        """Register, start watching the platform and connecting to peers, and serve operators."""
         self.membership.register_once()
         self.cache.start()
         self.membership.start(self._listener)
         threading.Thread(target=self.ops.serve, name="ops", daemon=True).start()
 
     def run_until_stopped(self, addresses: dict[str, str], stop: Callable[[], None]) -> None:
-        """Print the addresses, wait for SIGTERM or SIGINT, then stop as planned."""
+        """Print the addresses, wait for SIGTERM or SIGINT, then shut down gracefully."""
         catch_stop_signals(self.stopping)
         addresses |= {"peer": self.identity.peer, "ops": server_address(self.ops)}
         line = orjson.dumps({"ready": self.settings.name, **addresses}).decode()
@@ -122,8 +122,8 @@
             self.config.apply([shard])
 
     def dump(self) -> dict[str, Any]:
-        """Return this process's state, without any secret."""
-        heard = [
+        """Return this process's state, without secrets."""
+        peers = [
             {**vars(view.identity), "epochs": view.epochs, "open": view.open}
             for view in self.membership.heard()
         ]
@@ -133,7 +133,7 @@
             "epochs": self.config.epochs(),
             "generations": self.closings.snapshot(),
             "object_api": {"connected": self.cache.connected, "listings": self.cache.listings},
-            "peers": heard,
+            "peers": peers,
             "counters": self.metrics.snapshot(),
         }
 
@@ -142,12 +142,12 @@
     """The operators' port: /metrics, /debug/state, /healthz."""
 
     def __init__(self, process: Process) -> None:
-        """Show one process."""
+        """Serve the state of one process."""
         self._process = process
         self.parts: dict[str, Callable[[], Any]] = {}
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request of an operator."""
+        """Respond to one request of an operator."""
         match exchange.path:
             case "/healthz":
                 exchange.reply_json(200, {"ok": True})
@@ -157,13 +157,13 @@
                 parts = {name: read() for name, read in self.parts.items()}
                 exchange.reply_json(200, {**self._process.dump(), **parts})
             case _:
-                exchange.reply_json(404, {"error": "try /metrics, /debug/state or /healthz"})
+                exchange.reply_json(404, {"error": "use /metrics, /debug/state or /healthz"})
 
 
 def run_program(
     program: str, kind: type[Settings], flags: dict[str, Any], run: Callable[[Any], None]
 ) -> None:
-    """Check the settings and run; a bad setting ends the process with status 2."""
+    """Load the settings and run; an invalid setting exits with status 2, other errors with 1."""
     try:
         settings = load_settings(kind, flags, read_environment())
     except InvalidSettingError as error:
@@ -177,7 +177,7 @@
 
 
 def wants_help(program: str, kind: type[Settings]) -> bool:
-    """Print the help text if the command line asks for it."""
+    """Print the help text if the command line asks for it; return whether it did."""
     if not {"--help", "-h"} & set(sys.argv[1:]):
         return False
     sys.stdout.write(describe_settings(kind, program) + "\n")
--- a/src/swifttrestle/internal/files.py
+++ b/src/swifttrestle/internal/resource_files.py
@@ -1,4 +1,4 @@
-"""Resource files: YAML documents with kind, name, optionally version, and spec."""
+"""Resource files: YAML documents with kind, name, spec and an optional version."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -10,12 +10,12 @@
 from swifttrestle.errors import InvalidResourceError
 from swifttrestle.resources import parse_resource
 
-FILE_LIMIT = 8_000_000
+MAX_FILE_BYTES = 8_000_000
 
 
 @dataclass(frozen=True)
 class Document:
-    """One resource of a file; `version` is the version it was read at, or None."""
+    """One resource of a file; `version` is the stored version it was edited from, or None."""
 
     path: str
     kind: str
@@ -30,7 +30,7 @@
 
 
 def read_documents(paths: tuple[str, ...]) -> list[Document]:
-    """Return all resources of files and folders; raise InvalidResourceError with every fault."""
+    """Return all resources of files and folders; raise InvalidResourceError with all errors."""
     documents: list[Document] = []
     faults: list[str] = []
     for path in _list_files(paths):
@@ -38,15 +38,17 @@
             match value:
                 case {"kind": str(kind), "name": name, "spec": dict(spec), **rest}:
                     version: Any = rest.pop("version", None)
-                    faults.extend(f"{path}: {key!r} is no key of a resource" for key in rest)
+                    faults.extend(
+                        f"{path}: {key!r} is not a key of a resource; remove it" for key in rest
+                    )
                     faults.extend(_find_faults(path, kind, name, spec))
                     documents.append(Document(path, kind, str(name), spec, version))
                 case _:
-                    faults.append(f"{path}: {str(value)[:60]!r} is no resource; "
+                    faults.append(f"{path}: {str(value)[:60]!r} is not a resource; "
                                   "give kind, name and spec")  # fmt: skip
-    doubles = _find_doubles(documents)
-    if faults or doubles:
-        raise InvalidResourceError("\n".join(faults + doubles))
+    duplicates = _find_duplicates(documents)
+    if faults or duplicates:
+        raise InvalidResourceError("\n".join(faults + duplicates))
     return documents
 
 
@@ -58,21 +60,21 @@
         else:
             found.append(path)
     if not found:
-        raise InvalidResourceError(f"{', '.join(paths) or 'nothing'}: no resource file there")
+        raise InvalidResourceError(f"{', '.join(paths) or 'nothing'}: no resource file found")
     return found
 
 
 def _load_file(path: str) -> list[Any]:
     try:
         with Path(path).open("rb") as file:
-            text = file.read(FILE_LIMIT + 1)
-        if len(text) > FILE_LIMIT:
-            raise InvalidResourceError(f"{path}: over {FILE_LIMIT} bytes; split it")
+            text = file.read(MAX_FILE_BYTES + 1)
+        if len(text) > MAX_FILE_BYTES:
+            raise InvalidResourceError(f"{path}: larger than {MAX_FILE_BYTES} bytes; split it")
         return [value for value in yaml.safe_load_all(text) if value is not None]
     except OSError as error:
         raise InvalidResourceError(f"{path}: {error.strerror}") from None
     except yaml.YAMLError as error:
-        raise InvalidResourceError(f"{path}: no YAML: {error}") from None
+        raise InvalidResourceError(f"{path}: invalid YAML: {error}") from None
 
 
 def _find_faults(path: str, kind: str, name: Any, spec: dict) -> list[str]:
@@ -82,11 +84,11 @@
     return []
 
 
-def _find_doubles(documents: list[Document]) -> list[str]:
+def _find_duplicates(documents: list[Document]) -> list[str]:
     seen: dict[str, str] = {}
-    doubles = []
+    duplicates = []
     for document in documents:
         if document.key in seen:
-            doubles.append(f"{document.path}: {document.key} stands in {seen[document.key]} too")
+            duplicates.append(f"{document.path}: {document.key} is also in {seen[document.key]}")
         seen[document.key] = document.path
-    return doubles
+    return duplicates
--- a/src/swifttrestle/internal/settings_file.py
+++ b/src/swifttrestle/internal/settings_file.py
@@ -1,26 +1,25 @@
-"""Notices a changed settings file that no signal told of."""
+"""Detects changes of the settings file by polling, without a SIGHUP."""
 
 import asyncio
 from collections.abc import Callable
 from pathlib import Path
 
-# Seconds between two looks at the file.
-POLL_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 
 
 async def watch_settings_file(path: Path, changed: Callable[[], None]) -> None:
-    """Call `changed` after each change of the file, for as long as the process lives."""
-    seen = _read_change_time(path)
+    """Call `changed` after each change of the file, without end."""
+    last_mtime_ns = _read_mtime_ns(path)
     while True:
-        await asyncio.sleep(POLL_SECONDS)
-        now = _read_change_time(path)
-        if now != seen:
-            seen = now
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        mtime_ns = _read_mtime_ns(path)
+        if mtime_ns != last_mtime_ns:
+            last_mtime_ns = mtime_ns
             changed()
 
 
-def _read_change_time(path: Path) -> int:
-    """Return the file's time of change in nanoseconds, 0 while there is none."""
+def _read_mtime_ns(path: Path) -> int:
+    """Return the file's modification time in nanoseconds, or 0 if it cannot be read."""
     try:
         return path.stat().st_mtime_ns
     except OSError:
--- a/src/swifttrestle/internal/state_dump.py
+++ b/src/swifttrestle/internal/state_dump.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of its upstreams, as its state dump shows it."""
+"""The parts of a gateway's state dump on upstreams and quarantined requests."""
 
 from typing import Any
 
@@ -7,18 +7,18 @@
 
 
 def describe_fleet(fleet: Fleet) -> dict[str, dict[str, Any]]:
-    """Return the starts in use by name; `declared` is false for those that are kept aside."""
+    """Return the known instances by name; `declared` tells if the service is configured."""
     return {name: _describe(fleet, item) for name, item in fleet.instances.items()}
 
 
 def describe_quarantine(quarantine: Quarantine, now: float) -> dict[str, dict[str, Any]]:
-    """Return the quarantined requests by name: the crashes, and the seconds until a next try."""
+    """Return, by fingerprint, the crashes and the seconds to the next trial of each request."""
     return {
-        str(case.name): {
-            "crashes": [crash.start for crash in case.crashes],
-            "seconds": round(quarantine.find_wait(case.name, now), 1),
+        str(record.name): {
+            "crashes": [crash.start for crash in record.crashes],
+            "seconds": round(quarantine.find_wait(record.name, now), 1),
         }
-        for case in quarantine.list_quarantined()
+        for record in quarantine.list_quarantined()
     }
 
 
--- a/src/swifttrestle/internal/described.py
+++ b/src/swifttrestle/internal/validated_fields.py
@@ -1,7 +1,7 @@
-"""Data class fields that carry their own check and description.
+"""Data class fields that carry a check and a description.
 
-Settings and resources are both read from outside as plain values, both report a bad value
-with its mend, and both explain themselves to an operator; this is what they share.
+Settings and resources are parsed from plain values and print their own reference; both use these
+fields for validation, error messages and help texts.
 """
 
 import dataclasses
@@ -10,10 +10,10 @@
 from typing import Any
 
 
-def described(
+def validated_field(
     doc: str, check: Callable[[Any], Any], default: Any = MISSING, *, secret: bool = False
 ) -> Any:
-    """Describe one field; without a default it is required."""
+    """Return a field with its description and check; without a default it is required."""
     metadata = {"doc": doc, "check": check, "secret": secret}
     if default is MISSING:
         return field(metadata=metadata)
@@ -25,7 +25,7 @@
     return item.default is MISSING
 
 
-def write_default(item: dataclasses.Field) -> str:
+def format_default(item: dataclasses.Field) -> str:
     """Return the field's default for a help text."""
     if is_required(item):
         return "required"
@@ -34,11 +34,11 @@
 
 
 def check_field(item: dataclasses.Field, value: Any) -> Any:
-    """Return the checked value; raise ValueError with the bad value and the mend."""
+    """Return the checked value; raise ValueError with the value and what to give instead."""
     return item.metadata["check"](value)
 
 
 def find_unknown(kind: type, values: Mapping[str, Any]) -> list[str]:
-    """Return the names among the values that are no field of the data class."""
+    """Return the keys of `values` that are not fields of the data class."""
     known = {item.name for item in dataclasses.fields(kind)}
     return sorted(str(name) for name in values if name not in known)
--- a/src/swifttrestle/platform/backpressure.py
+++ b/src/swifttrestle/platform/backpressure.py
@@ -1,4 +1,4 @@
-"""The headers by which an upstream says in an answer what work it takes."""
+"""Parses the response headers by which an upstream limits or refuses requests."""
 
 import re
 from collections.abc import Callable, Sequence
@@ -6,43 +6,52 @@
 from swifttrestle.internal.state.backpressure import NO_BACKPRESSURE, Backpressure
 from swifttrestle.platform.wire import Header
 
-LEAVING = b"server-leaving"
-RATE = b"server-limit"
-REST = b"retry-after"
-# Statuses by which an upstream turns a request away and may name a time of rest.
-_TURNED_AWAY = frozenset((429, 503))
-# A decimal number as HTTP writes one: no sign, no word such as nan, no digits grouped by _.
+LEAVING_HEADER = b"server-leaving"
+RATE_LIMIT_HEADER = b"server-limit"
+RETRY_AFTER_HEADER = b"retry-after"
+# Statuses of refusals. With other statuses, Retry-After is ignored.
+_REFUSAL_STATUSES = frozenset((429, 503))
+# An unsigned decimal number; float() would also accept nan, inf and digits grouped by _.
 _DECIMAL = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,3})?")
-# Bytes of a word that are shown where it cannot be read.
-_SHOWN_BYTES = 40
+# Longest part of an unreadable value that is logged.
+_MAX_SHOWN_BYTES = 40
 
 
 def read_backpressure(status: int, headers: Sequence[Header]) -> Backpressure:
-    """Return what an answer says of its upstream; a word that cannot be read is named as odd.
+    """Return the backpressure that a response signals, with the headers that cannot be read.
 
-    Of a word that comes twice the stricter value counts.
+    Of a repeated header, the stricter value applies.
     """
-    found = [(name.lower(), value) for name, value in headers if name.lower() in _READERS]
+    found = [(name.lower(), value) for name, value in headers if name.lower() in _PARSERS]
     if not found:
         return NO_BACKPRESSURE
-    turned_away = status in _TURNED_AWAY
-    words = [
-        (name, value, _READERS[name](value)) for name, value in found if name != REST or turned_away
+    is_refusal = status in _REFUSAL_STATUSES
+    values = [
+        (name, value, _PARSERS[name](value))
+        for name, value in found
+        if name != RETRY_AFTER_HEADER or is_refusal
     ]
     return Backpressure(
-        leaving=any(read for name, _, read in words if name == LEAVING),
-        rest=_find_longest([read for name, _, read in words if name == REST]),
+        leaving=any(parsed for name, _, parsed in values if name == LEAVING_HEADER),
+        rest=_find_max([parsed for name, _, parsed in values if name == RETRY_AFTER_HEADER]),
         rate=min(
-            (read for name, _, read in words if name == RATE and read is not None), default=None
+            (
+                parsed
+                for name, _, parsed in values
+                if name == RATE_LIMIT_HEADER and parsed is not None
+            ),
+            default=None,
+        ),
+        unreadable=tuple(
+            _format_header(name, value) for name, value, parsed in values if parsed is None
         ),
-        unreadable=tuple(_show(name, value) for name, value, read in words if read is None),
     )
 
 
-def _find_longest(rests: Sequence[float | None]) -> float | None:
-    """Return the longest time of rest; None where none of those that came can be read."""
-    readable = [item for item in rests if item is not None]
-    if rests and not readable:
+def _find_max(seconds: Sequence[float | None]) -> float | None:
+    """Return the longest time, 0 if there is none, or None if none of them can be read."""
+    readable = [item for item in seconds if item is not None]
+    if seconds and not readable:
         return None
     return max(readable, default=0.0)
 
@@ -56,16 +65,16 @@
     if not _DECIMAL.fullmatch(text):
         return None
     number = float(text)
-    # A number beyond all that a float holds reads as infinite.
+    # A number beyond the range of a float is parsed as infinity.
     return number if number != float("inf") else None
 
 
-def _show(name: bytes, value: bytes) -> str:
-    return f"{name.decode()}: {value[:_SHOWN_BYTES].decode('latin-1')}"
+def _format_header(name: bytes, value: bytes) -> str:
+    return f"{name.decode()}: {value[:_MAX_SHOWN_BYTES].decode('latin-1')}"
 
 
-_READERS: dict[bytes, Callable[[bytes], float | None]] = {
-    LEAVING: _read_flag,
-    RATE: _read_decimal,
-    REST: _read_decimal,
+_PARSERS: dict[bytes, Callable[[bytes], float | None]] = {
+    LEAVING_HEADER: _read_flag,
+    RATE_LIMIT_HEADER: _read_decimal,
+    RETRY_AFTER_HEADER: _read_decimal,
 }
--- a/src/swifttrestle/platform/duties.py
+++ b/src/swifttrestle/platform/duties.py
@@ -1,4 +1,4 @@
-"""The platform's calls that are one host's duty: reports of usage, and orders of upstreams."""
+"""Client of the platform's API for usage reports and upstream orders, called by one host only."""
 
 import asyncio
 from collections.abc import Mapping
@@ -15,13 +15,13 @@
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest
 
 POOL_NAME = "duties"
-# Seconds in which a call must be answered: twice what a slow platform takes.
-CALL_SECONDS = 1.0
-SMALL_ANSWER_BYTES = 64 * 1024
+# Twice the time that a slow platform takes.
+CALL_TIMEOUT_SECONDS = 1.0
+MAX_RESPONSE_BYTES = 64 * 1024
 
 
 class CallOutcome(Enum):
-    """What became of a call; without an answer it may have been done."""
+    """The outcome of a call; an unanswered call may have taken effect."""
 
     TAKEN = "taken"
     NONE_TO_BE_HAD = "none to be had"
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True)
 class LeaseCredentials:
-    """Under which lease a call is made."""
+    """The lease under which a call is made: its holder and fencing token."""
 
     holder: str
     token: int
 
 
 class DutyApiClient:
-    """The client of the platform's duty calls."""
+    """Calls that the platform accepts from the holder of the duty lease."""
 
     def __init__(self, address: Address, pool: ConnectionPool) -> None:
-        """Call the platform at an address."""
+        """Call the platform at `address`."""
         self._address = address
         self._pool = pool
         self.calls = 0
@@ -50,14 +50,14 @@
     async def report_usage(
         self, authority: LeaseCredentials, window: int, counts: Mapping[str, int]
     ) -> CallOutcome:
-        """Report one window's requests by workspace."""
+        """Report the number of requests of each workspace in one window."""
         body = {"windowId": window, "counts": dict(counts)}
         return await self._call(authority, b"/usage", body)
 
     async def order_upstreams(
         self, authority: LeaseCredentials, service: str, zone: str, count: int, reclaimable: bool
     ) -> CallOutcome:
-        """Order how many upstreams of a kind a service is to have in a zone."""
+        """Order the number of upstreams, reclaimable or not, of a service in a zone."""
         body: dict[str, Any] = {"service": service, "zone": zone, "desiredCount": count}
         if reclaimable:
             body["spot"] = True
@@ -72,12 +72,14 @@
             (b"X-Fencing-Token", str(authority.token).encode()),
             (b"Content-Type", b"application/json"),
         ]
-        sent = Body.from_bytes(content)
-        request = OutgoingRequest(b"POST", path, headers, Framing.LENGTH, len(content), sent)
+        request_body = Body.from_bytes(content)
+        request = OutgoingRequest(
+            b"POST", path, headers, Framing.LENGTH, len(content), request_body
+        )
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 head, _ = await call_once(
-                    self._pool, POOL_NAME, self._address, request, SMALL_ANSWER_BYTES
+                    self._pool, POOL_NAME, self._address, request, MAX_RESPONSE_BYTES
                 )
         except (UpstreamBrokenError, TimeoutError) as error:
             log_event("duty call unanswered", path=path.decode(), reason=repr(error))
--- a/src/swifttrestle/platform/engine.py
+++ b/src/swifttrestle/platform/engine.py
@@ -1,4 +1,4 @@
-"""Calls to a model engine: prompt-only runs, KV handles, reports and role orders."""
+"""Messages of a model engine: KV handles, reports, cached prompt parts and role orders."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -13,7 +13,7 @@
 REPORT_PATH = b"/v1/report"
 ORDER_PATH = b"/v1/order"
 CACHED_PARTS_PATH = b"/v1/kv-list"
-_HANDLE_PATH = "/v1/kv-handle/"
+_HANDLE_PATH_PREFIX = "/v1/kv-handle/"
 
 
 @dataclass(frozen=True)
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True)
 class EngineReport:
-    """An engine's state some hundred milliseconds ago.
+    """An engine's state, some hundred milliseconds old.
 
-    `orders_taken` is called `seq` on the wire and counts orders since the engine's start, which
-    was at `born`, in Unix milliseconds, 0 where the engine does not tell it.
+    `orders_taken` is the field `seq` on the wire and counts orders since the engine's start.
+    `born` is the time of that start in Unix milliseconds, 0 if the engine does not report it.
     """
 
     role: Role
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class RoleOrder:
-    """An order to change an engine's role; `orders_taken` makes it conditional."""
+    """An order to change an engine's role, refused if `orders_taken` is not the engine's count."""
 
     role: Role
     holder: str
@@ -51,8 +51,8 @@
 
 
 def read_handle(body: bytes) -> KvHandle:
-    """Return the handle of a prompt-only run's answer; raise UpstreamBrokenError."""
-    raw = _load(body)
+    """Return the KV handle of a prefill response; raise UpstreamBrokenError."""
+    raw = _decode(body)
     try:
         return KvHandle(str(raw["kvHandle"]), int(raw.get("tokens", 0)))
     except (KeyError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
@@ -61,7 +61,7 @@
 
 def read_report(body: bytes) -> EngineReport:
     """Return an engine's report; raise UpstreamBrokenError."""
-    raw = _load(body)
+    raw = _decode(body)
     try:
         return EngineReport(
             role=Role(raw["phase"]),
@@ -77,18 +77,18 @@
 
 @dataclass(frozen=True)
 class CachedParts:
-    """The parts that an engine keeps since its start at `born`, 0 where it does not tell that."""
+    """The prompt parts in an engine's cache; `born` is as in EngineReport."""
 
     parts: tuple[PromptPart, ...]
     born: int = 0
 
 
 def read_cached_parts(body: bytes) -> CachedParts:
-    """Return the parts that an engine keeps, under names as in bookings; raise UpstreamBrokenError.
+    """Return an engine's cached prompt parts, named as in bookings; raise UpstreamBrokenError.
 
     Each entry of `held` is an empty text, the part's id, its tokens and the model.
     """
-    raw = _load(body)
+    raw = _decode(body)
     try:
         parts = tuple(
             PromptPart(f"{model}/{part}", max(0, int(tokens)))
@@ -99,12 +99,12 @@
         raise UpstreamBrokenError(f"an engine's list cannot be read: {error!r}") from None
 
 
-def is_other_incarnation(told: int, known: int) -> bool:
-    """Return whether an engine's word is of another start than the known one.
+def is_other_incarnation(reported: int, known: int) -> bool:
+    """Return whether a reported start time of an engine differs from the known one.
 
-    Both are in Unix milliseconds, 0 where nothing was told: then they may be the same.
+    Both are in Unix milliseconds, or 0 if not reported, which matches any start.
     """
-    return bool(told and known) and told != known
+    return bool(reported and known) and reported != known
 
 
 def _read_born(raw: dict[str, Any]) -> int:
@@ -125,25 +125,25 @@
 
 
 def build_engine_headers(instance: str) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a call of the system to one start of an engine."""
+    """Return the headers of a gateway's own call to one instance of an engine."""
     return [(b"Host", b"engine"), (b"X-Expect-Instance", instance.encode())]
 
 
 def format_kv_source(address: tuple[str, int], handle: KvHandle) -> str:
-    """Return how a decoding engine is told where to fetch a handle."""
+    """Return the value of X-Kv-Source, which tells a decode engine where to fetch a KV cache."""
     return f"{address[0]}:{address[1]}/{handle.name}"
 
 
 def build_handle_path(handle: KvHandle) -> bytes:
-    """Return the path by which a handle is freed."""
-    return (_HANDLE_PATH + handle.name).encode()
+    """Return the path at which a handle is freed."""
+    return (_HANDLE_PATH_PREFIX + handle.name).encode()
 
 
-def _load(body: bytes) -> dict[str, Any]:
+def _decode(body: bytes) -> dict[str, Any]:
     try:
         raw = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         raise UpstreamBrokenError(f"an engine's answer is not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise UpstreamBrokenError("an engine's answer is no map")
+        raise UpstreamBrokenError("an engine's answer is not a JSON object")
     return raw
--- a/src/swifttrestle/platform/objects.py
+++ b/src/swifttrestle/platform/objects.py
@@ -1,4 +1,4 @@
-"""Decoding of the store's answers, object by object: one that cannot be read hides no other."""
+"""Decodes the object store's responses; a malformed object does not affect the others."""
 
 import json
 import math
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class StoredObject:
-    """One object; `revision` is that of its last change."""
+    """One object; `revision` is the revision of its last change."""
 
     kind: str
     name: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class MalformedObject:
-    """An object that cannot be read; `name` is empty where that cannot be read either."""
+    """A malformed object; `name` is empty if the name cannot be read."""
 
     kind: str
     name: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One change that a watch saw."""
+    """One change that a watch returned."""
 
     item: StoredObject | MalformedObject
     removed: bool
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The objects of a kind, and the store's revision from which a watch goes on.
+    """The objects of a kind, and the revision from which to watch for changes.
 
-    `malformed` are those that could not be read. Where the list is not `complete`, objects behind
-    a page without any readable name are missing from it.
+    If the list is not `complete`, it lacks the objects after a page on which no name could be
+    read.
     """
 
     items: tuple[StoredObject, ...]
@@ -56,15 +56,15 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What a watch returned, and the revision from which the next one goes on."""
+    """The changes that a watch returned, and the revision from which the next watch continues."""
 
     changes: tuple[Change, ...]
     revision: StoreRevision
 
 
 @dataclass(frozen=True)
-class Page:
-    """One page of a list; `last` is the name after which the next one begins."""
+class ListPage:
+    """One page of a list; the next page begins after the name `last`."""
 
     items: tuple[StoredObject, ...]
     malformed: tuple[MalformedObject, ...]
@@ -74,11 +74,10 @@
 
 
 def decode_answer(path: str, content: bytes) -> Any:
-    """Return the JSON of an answer; raise BadPlatformAnswerError.
+    """Return the decoded JSON of a response; raise BadPlatformAnswerError.
 
-    Bytes that are no UTF-8 stay in the texts that hold them, as lone surrogates, and numbers that
-    JSON does not have become such texts, so that only the objects which hold these cannot be
-    read, and not all that came with them.
+    Bytes that are not UTF-8 become lone surrogates in their texts, and numbers that are not valid
+    JSON become such texts. So only the objects with these values are rejected, not the response.
     """
     try:
         return orjson.loads(content) if content else None
@@ -86,26 +85,26 @@
         pass
     try:
         text = content.decode("utf-8", "surrogateescape")
-        return json.loads(text, strict=False, parse_constant=_mark, parse_float=_read_float)
+        return json.loads(text, strict=False, parse_constant=_mark_invalid, parse_float=_read_float)
     except (ValueError, RecursionError) as error:
         raise BadPlatformAnswerError(f"{path}: the answer is not JSON: {error!r}") from None
 
 
-def _mark(text: str) -> str:
-    """Return a text that no writer of JSON takes."""
+def _mark_invalid(text: str) -> str:
+    """Return a text with a lone surrogate, which cannot be encoded as JSON."""
     return "\udcff" + text
 
 
 def _read_float(text: str) -> float | str:
     value = float(text)
-    return value if math.isfinite(value) else _mark(text)
+    return value if math.isfinite(value) else _mark_invalid(text)
 
 
 def read_object(kind: str, raw: Any, epoch: int = 0) -> StoredObject:
-    """Return one object of an answer of the store's `epoch`; raise BadEntryError."""
+    """Return one object of a response of the store's `epoch`; raise BadEntryError."""
     what = f"object of kind {kind}"
     if not isinstance(raw, dict) or not isinstance(raw.get("metadata"), dict):
-        raise BadEntryError(what, "metadata", raw, "it is missing or no map")
+        raise BadEntryError(what, "metadata", raw, "it is missing or not a JSON object")
     metadata = raw["metadata"]
     try:
         name = check_text(metadata.get("name"))
@@ -117,30 +116,30 @@
     except ValueError as error:
         raise BadEntryError(what, "metadata.revision", revision, str(error)) from None
     try:
-        # Whatever JSON does not allow is a lone surrogate by now, and refused by its writer.
+        # Values that are not valid JSON are lone surrogates here, which cannot be encoded.
         orjson.dumps(raw)
     except TypeError as error:
         raise BadEntryError(what, "spec", raw.get("spec"), str(error)) from None
     return StoredObject(kind, name, StoreRevision(epoch, number), raw.get("spec"))
 
 
-def read_page(kind: str, raw: Any, epoch: int = 0) -> Page:
-    """Return one page of a list; raise BadPlatformAnswerError where it is none."""
+def read_page(kind: str, raw: Any, epoch: int = 0) -> ListPage:
+    """Return one page of a list; raise BadPlatformAnswerError."""
     try:
         raw_items = list(raw["items"])
         number = check_integer(raw["timestamp"], 0, MAX_INT64)
         more = bool(raw.get("hasMore")) and bool(raw_items)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadPlatformAnswerError(f"a list cannot be read: {error!r}") from None
-    read = [_try_object(kind, item, epoch) for item in raw_items]
+    read = [_read_object_or_error(kind, item, epoch) for item in raw_items]
     items = tuple(item for item in read if isinstance(item, StoredObject))
     malformed = tuple(item for item in read if isinstance(item, MalformedObject))
     last = next((item.name for item in reversed(read) if item.name), "")
-    return Page(items, malformed, StoreRevision(epoch, number), more, last)
+    return ListPage(items, malformed, StoreRevision(epoch, number), more, last)
 
 
 def read_changes(kind: str, raw: Any, epoch: int = 0) -> Changes:
-    """Return what a watch answered; raise BadPlatformAnswerError where it is no answer to one."""
+    """Return the changes of a watch's response; raise BadPlatformAnswerError."""
     try:
         events = list(raw["events"])
         number = check_integer(raw["timestamp"], 0, MAX_INT64)
@@ -152,13 +151,17 @@
 
 def _read_change(kind: str, event: Any, epoch: int) -> Change:
     if not isinstance(event, dict):
-        error = BadEntryError(f"event of kind {kind}", "object", event, "the event is no map")
+        error = BadEntryError(
+            f"event of kind {kind}", "object", event, "the event is not a JSON object"
+        )
         return Change(MalformedObject(kind, "", error, event), False)
-    # A removal counts by its name alone: what the object held does not matter any more.
-    return Change(_try_object(kind, event.get("object"), epoch), event.get("removed") is True)
+    # Of a removed object only the name matters, so its content may be malformed.
+    return Change(
+        _read_object_or_error(kind, event.get("object"), epoch), event.get("removed") is True
+    )
 
 
-def _try_object(kind: str, raw: Any, epoch: int) -> StoredObject | MalformedObject:
+def _read_object_or_error(kind: str, raw: Any, epoch: int) -> StoredObject | MalformedObject:
     try:
         return read_object(kind, raw, epoch)
     except BadEntryError as error:
@@ -166,7 +169,7 @@
 
 
 def _find_name(raw: Any) -> str:
-    """Return the name of an object that cannot be read, "" where that cannot be read either."""
+    """Return the name of a malformed object, or "" if the name cannot be read."""
     try:
         return check_text(raw["metadata"]["name"])
     except (KeyError, TypeError, ValueError):
--- a/src/swifttrestle/platform/records.py
+++ b/src/swifttrestle/platform/records.py
@@ -1,4 +1,4 @@
-"""Decoding of what lies in the platform's store: the configuration and the discovery records."""
+"""Decodes the configuration and the discovery records of the platform's store."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -31,16 +31,15 @@
 CONFIG_KIND = "config"
 CONFIG_NAME = "main"
 UPSTREAM_KIND = "servers"
-# Slots that a record may name: a hundred times what the largest engines have.
-MOST_SLOTS = 100_000
-# The least urgent priority that a workspace may have; engines know no other either.
-LEAST_PRIORITY = 9
-# Bytes that a key may have: what fits the headers of a request.
-LONGEST_KEY = 16 * 1024
-_LEAVING = "draining"
-# What errors show in place of a value that holds keys.
-_HIDDEN = "(not shown: it may hold keys)"
-_STATES = ("ready", _LEAVING)
+MAX_SLOTS = 100_000
+# The numerically largest, least urgent priority of a workspace, as in engines.
+LOWEST_PRIORITY = 9
+# Longest key, limited by the size of request headers.
+MAX_KEY_CHARS = 16 * 1024
+_DRAINING = "draining"
+# Shown in errors instead of a value that may contain keys.
+_HIDDEN = "(not shown: it may contain keys)"
+_STATES = ("ready", _DRAINING)
 _PHASES = (Role.PREFILL.value, Role.DECODE.value)
 
 T = TypeVar("T")
@@ -49,9 +48,8 @@
 def read_upstream(instance: str, spec: Any) -> UpstreamRecord:
     """Return one discovery record; raise BadEntryError.
 
-    Fields that nothing here uses are checked too: a wrong one tells that another writer wrote
-    the record. Its field `seq` counts heartbeats; it is not the engine's count of orders of the
-    same name.
+    Unused fields are checked too, since an invalid one shows that another program has written the
+    record. Its field `seq` counts heartbeats, unlike the `seq` of an engine's report.
     """
     fields = _Fields(f"record of {instance}", spec)
     fields.check("seq", lambda value: check_integer(value, 0, MAX_INT64))
@@ -63,8 +61,8 @@
         service=fields.read("service", check_text),
         address=fields.read("address", split_ip_address),
         zone=fields.read("zone", check_text),
-        slots=fields.read("slots", lambda value: check_integer(value, 1, MOST_SLOTS)),
-        leaving=fields.read("state", lambda value: check_choice(value, _STATES)) == _LEAVING,
+        slots=fields.read("slots", lambda value: check_integer(value, 1, MAX_SLOTS)),
+        leaving=fields.read("state", lambda value: check_choice(value, _STATES)) == _DRAINING,
         role=Role(fields.check("phase", lambda value: check_choice(value, _PHASES)) or "none"),
         born=fields.check("born", lambda value: check_integer(value, 1, MAX_INT64)) or 0,
         reclaimable=fields.check("spot", check_bool) or False,
@@ -79,23 +77,23 @@
 
 
 class _Fields:
-    """The fields of one entry, each checked as it is read."""
+    """The fields of one entry, each checked when it is read."""
 
     def __init__(self, what: str, spec: Any) -> None:
-        """Read from `spec`; raise BadEntryError where it is no map."""
+        """Read from `spec`; raise BadEntryError if it is not a JSON object."""
         if not isinstance(spec, dict):
-            raise BadEntryError(what, "spec", spec, "it is no map")
+            raise BadEntryError(what, "spec", spec, "it is not a JSON object")
         self._what = what
         self._spec = spec
 
     def read(self, name: str, check: Callable[[Any], T]) -> T:
-        """Return a field that must be there; raise BadEntryError."""
+        """Return a required field; raise BadEntryError."""
         if self._spec.get(name) is None:
             raise BadEntryError(self._what, name, None, "it is missing")
         return self._check(name, check)
 
     def check(self, name: str, check: Callable[[Any], T]) -> T | None:
-        """Return a field that may be left out, None without it; raise BadEntryError."""
+        """Return an optional field, None if it is missing; raise BadEntryError."""
         return self._check(name, check) if self._spec.get(name) is not None else None
 
     def _check(self, name: str, check: Callable[[Any], T]) -> T:
@@ -113,7 +111,7 @@
 
 
 def read_configuration(spec: Any) -> Configuration:
-    """Return one configuration version; raise BadEntryError."""
+    """Return a configuration; raise BadEntryError, which does not show the content."""
     try:
         return _read_configuration(spec)
     except (KeyError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
@@ -132,37 +130,37 @@
 
 
 def _read_workspaces(raw: Any) -> tuple[Workspace, ...] | None:
-    """Return who may call, None where nobody needs a key; no error shows a key."""
+    """Return the workspaces, or None if no keys are needed; errors do not show keys."""
     if raw is None:
         return None
     if not isinstance(raw, list):
-        raise BadEntryError("configuration", "tenants", _HIDDEN, "it is no list")
+        raise BadEntryError("configuration", "tenants", _HIDDEN, "it is not a list")
     workspaces = tuple(_read_workspace(item) for item in raw)
-    owners: set[bytes] = set()
+    used_digests: set[bytes] = set()
     for item in workspaces:
-        if owners & item.key_digests:
+        if used_digests & item.key_digests:
             raise BadEntryError(
-                f"workspace {item.name}", "apiKeys", _HIDDEN, "another workspace has one of them"
+                f"workspace {item.name}", "apiKeys", _HIDDEN, "another workspace has the same key"
             )
-        owners |= item.key_digests
+        used_digests |= item.key_digests
     return workspaces
 
 
 def _read_workspace(raw: Any) -> Workspace:
     if not isinstance(raw, dict):
-        raise BadEntryError("configuration", "tenants", _HIDDEN, "a workspace is no map")
+        raise BadEntryError("configuration", "tenants", _HIDDEN, "a workspace is not a JSON object")
     fields = _Fields("workspace", raw)
     name = fields.read("name", check_text)
     keys = raw.get("apiKeys")
     if not isinstance(keys, list) or not all(_is_key(key) for key in keys):
-        reason = f"it is no list of texts of 1 to {LONGEST_KEY} characters"
+        reason = f"it is not a list of texts of 1 to {MAX_KEY_CHARS} characters"
         raise BadEntryError(f"workspace {name}", "apiKeys", _HIDDEN, reason)
-    priority = fields.check("priority", lambda value: check_integer(value, 0, LEAST_PRIORITY))
+    priority = fields.check("priority", lambda value: check_integer(value, 0, LOWEST_PRIORITY))
     return Workspace(name, frozenset(digest_key(key.encode()) for key in keys), priority)
 
 
 def _is_key(value: Any) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= LONGEST_KEY
+    return isinstance(value, str) and 0 < len(value) <= MAX_KEY_CHARS
 
 
 def _read_scaling(raw: Any) -> Scaling:
@@ -204,7 +202,7 @@
 
 
 def _read_targets(item: Any) -> tuple[Target, ...]:
-    # A route that is split names its shares in `backends`, any other one its `service`.
+    # A route has either weighted `backends` or one `service`.
     shares = item.get("backends")
     if not shares:
         return (Target(str(item["service"]), 1.0),)
@@ -227,7 +225,7 @@
         slots=int(engine["slots"]),
         kv_tokens=int(engine["kvCapacity"]),
         kv_bytes_per_token=float(engine.get("tokenKvBytes") or 0),
-        # `linkMbps` is in megabits a second.
+        # `linkMbps` is in megabits per second.
         link_bytes_per_second=float(engine.get("linkMbps") or 0) * 125_000,
         handle_seconds=float(engine.get("kvHoldS") or 0),
         role_change_seconds=float(engine.get("swapS") or 0),
--- a/src/swifttrestle/platform/settings.py
+++ b/src/swifttrestle/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on each host, decoded and checked."""
+"""Reads and validates the settings file that the platform provides on each host."""
 
 import os
 from collections.abc import Mapping
@@ -12,26 +12,25 @@
 from swifttrestle.internal.checks import check_bool, check_integer, check_number, parse_address
 
 PATH_VARIABLE = "SWIFTTRESTLE_BOOT"
-LARGEST_PORT = 65535
-LONGEST_MS = 3_600_000
+MAX_PORT = 65535
+MAX_DURATION_MS = 3_600_000
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """The promised bounds that this program acts on; all in seconds but the retry figures.
+    """Limits that the platform sets; all in seconds, except `retry_share` and `retry_extra`.
 
-    `revocation` is for how long after its removal a key may be served, infinite where nothing but
-    the version in force counts. `usage_window_seconds` is the length of the windows in which
-    requests
-    are counted for their workspaces, 0 where they are not.
+    `revocation` is how long a removed key may still be accepted, infinite if there is no limit.
+    `usage_window_seconds` is the length of the windows in which workspaces' requests are counted,
+    0 if usage is not counted.
     """
 
     stop: float
     lease: float
     retry_share: float
-    retry_window: float
+    retry_window_seconds: float
     retry_extra: float
     revocation: float = float("inf")
     usage_window_seconds: float = 0.0
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True)
 class DutySettings:
-    """Where the platform takes the calls that are one host's duty, and which it wants."""
+    """The address of the platform's duty API, and the calls that it requires."""
 
     address: Address
     usage: bool
@@ -50,9 +49,9 @@
 class HostSettings:
     """One host's settings.
 
-    `internal_port` is the first port that peers may use; `link_mbps` is the speed of the
-    host's network link in megabits a second, 0 where it is not told. `regions` tells the region
-    of each availability zone, as far as the platform does.
+    `internal_port` is the first port that peers may use. `link_mbps` is the speed of the host's
+    network link in megabits per second, 0 if unknown. `regions` has the region of each
+    availability zone, as far as known.
     """
 
     host: str
@@ -69,13 +68,13 @@
     regions: dict[str, str] = field(default_factory=dict)
 
     def is_in_same_region(self, zone: str) -> bool:
-        """Return whether a zone is in this host's region, as far as that is told."""
-        own = self.regions.get(self.zone)
-        return own is None or self.regions.get(zone, own) == own
+        """Return whether a zone is in this host's region, or its region is unknown."""
+        own_region = self.regions.get(self.zone)
+        return own_region is None or self.regions.get(zone, own_region) == own_region
 
 
 def load_host_settings(env: Mapping[str, str] = os.environ) -> HostSettings:
-    """Read the file that the environment names; raise InvalidSettingError with the mend."""
+    """Read the settings file named by the environment; raise InvalidSettingError."""
     path = env.get(PATH_VARIABLE)
     if not path:
         raise InvalidSettingError(f"{PATH_VARIABLE} is not set; give the path of the settings file")
@@ -84,12 +83,12 @@
     except OSError as error:
         raise InvalidSettingError(f"{PATH_VARIABLE}={path}: {error}; make it readable") from None
     except orjson.JSONDecodeError as error:
-        raise InvalidSettingError(f"{path} is not JSON: {error}; write it anew") from None
+        raise InvalidSettingError(f"{path} is not JSON: {error}; write it again") from None
     return read_host_settings(raw)
 
 
 def read_host_settings(raw: Any) -> HostSettings:
-    """Return the settings of the file's values; fields that are not known are passed over."""
+    """Return the settings from the file's values; unknown fields are ignored."""
     table = _Table(raw, "")
     listen = table.table("listen")
     bounds = table.table("bounds")
@@ -100,17 +99,17 @@
         callers=listen.address("front"),
         readiness=listen.address("ready"),
         internal_port=table.first_port("internalPorts"),
-        # The file names the control address of each seed; only the host part serves here,
-        # since peers talk on the internal ports, which are alike on all hosts.
+        # Seeds are given by their control addresses. Only the host part is used, since peers
+        # communicate on the internal ports, which are the same on all hosts.
         seeds=tuple(table.addresses("seeds")),
         link_mbps=table.optional_table("limits").optional_number("linkMbps"),
         regions=table.texts("zones"),
         store=table.table("platform").address("address"),
         bounds=Bounds(
-            stop=bounds.number("graceS", 0, LONGEST_MS / 1000),
-            lease=bounds.number("leaseMs", 0, LONGEST_MS) / 1000,
+            stop=bounds.number("graceS", 0, MAX_DURATION_MS / 1000),
+            lease=bounds.number("leaseMs", 0, MAX_DURATION_MS) / 1000,
             retry_share=bounds.number("budgetRatio", 0, 100),
-            retry_window=bounds.number("budgetWindowS", 0.1, LONGEST_MS / 1000),
+            retry_window_seconds=bounds.number("budgetWindowS", 0.1, MAX_DURATION_MS / 1000),
             retry_extra=bounds.number("budgetExtra", 0, 1e9),
             revocation=_read_revocation(bounds),
             usage_window_seconds=bounds.optional_number("reportWindowS"),
@@ -122,7 +121,7 @@
 def _read_revocation(bounds: "_Table") -> float:
     if not bounds.optional_bool("strictRevoke"):
         return float("inf")
-    return bounds.number("revokeMs", 0, LONGEST_MS) / 1000
+    return bounds.number("revokeMs", 0, MAX_DURATION_MS) / 1000
 
 
 def _read_duties(table: "_Table") -> DutySettings | None:
@@ -133,7 +132,7 @@
 
 
 class _Table:
-    """One JSON object with checked access; errors name the field, its value and the mend."""
+    """A JSON object with validated access; errors have the field, its value and the fix."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
@@ -169,11 +168,11 @@
     def text(self, name: str) -> str:
         value = self._find(name)
         if not isinstance(value, str) or not value:
-            raise InvalidSettingError(f"{self._path}{name} is {value!r}; give a text")
+            raise InvalidSettingError(f"{self._path}{name} is {value!r}; give a non-empty text")
         return value
 
     def texts(self, name: str) -> dict[str, str]:
-        """Return a table of texts that may be left out."""
+        """Return an optional table of texts, empty if it is missing."""
         value = self._raw.get(name) or {}
         if not isinstance(value, dict) or not all(isinstance(v, str) for v in value.values()):
             raise InvalidSettingError(f"{self._path}{name} is {value!r}; give a table of texts")
@@ -190,11 +189,11 @@
         return self._wrap(name, lambda: [parse_address(item) for item in value])
 
     def first_port(self, name: str) -> int:
-        return self._check(name, lambda ports: check_integer(ports[0], 1, LARGEST_PORT))
+        return self._check(name, lambda ports: check_integer(ports[0], 1, MAX_PORT))
 
     def _find(self, name: str) -> Any:
         if name not in self._raw:
-            raise InvalidSettingError(f"{self._path}{name} is missing; give it")
+            raise InvalidSettingError(f"{self._path}{name} is missing; add it")
         return self._raw[name]
 
     def _check(self, name: str, check: Any) -> Any:
--- a/src/swifttrestle/platform/store.py
+++ b/src/swifttrestle/platform/store.py
@@ -1,10 +1,10 @@
-"""The client of the platform's object store: lists, watches and conditional writes.
+"""Client of the platform's object store: lists, watches and conditional writes.
 
-A call that got no answer may have been done, or may be done seconds later. Such a call
-raises PlatformUnavailableError, and whoever wrote reads back before it acts on the write.
+A call without a response raises PlatformUnavailableError but may take effect, even seconds later.
+Writers must read back before they rely on such a write.
 
-A store may come back from a copy and give its revisions out again. So each revision is one of an
-epoch: what was known of an epoch before is neither watched from nor written over.
+A store that is restored from a backup issues revision numbers again. So a revision belongs to an
+epoch, and revisions of earlier epochs are not used for watches or conditional writes.
 """
 
 import asyncio
@@ -38,37 +38,33 @@
 )
 
 POOL_NAME = "store"
-# Seconds in which a write must be answered: far over the usual milliseconds, under the shortest
-# lease.
+# Timeout of writes, shorter than the shortest lease.
 CALL_SECONDS = 2.0
-# The same for a read, which may be made again at any time: twice what a slow store takes. One that
-# was lost in an outage delays the next one, which may find the store back, by as much.
+# Timeout of reads, which can be retried at any time: twice what a slow store takes.
 READ_SECONDS = 1.0
-# Seconds without a byte after which an answer that has begun counts as broken off: more than TCP
-# takes to send a lost packet again. There is no bound for the whole, since a link that needs
-# longer than that for a large object would never read it to its end.
-BYTE_SECONDS = 2.0
-# Seconds that a watch waits for a change; the store's own bound.
+# Longest time between two bytes of a response, longer than a TCP retransmission. There is no limit
+# for the whole body, since a slow link could then never transfer a large object.
+BYTE_TIMEOUT_SECONDS = 2.0
+# Longest time that a watch waits for a change, a limit of the store.
 WATCH_SECONDS = 30.0
-# Seconds beyond that in which a watch must be answered: four times what a slow store takes. One
-# that is not answered may wait on a connection that has fallen silent.
+# Time beyond that in which a watch must be answered: four times what a slow store takes.
 WATCH_MARGIN_SECONDS = 0.8
-# Milliseconds after which a silent connection to the store is broken: with the time to read
-# anew, less than the three seconds after which a host must know what it says.
-SILENCE_MS = 2000
-# The header in which all answers of the store name its epoch.
+# Time after which a connection with unacknowledged data is closed. Together with the time to read
+# again, it is less than the three seconds within which a host must apply changes.
+UNACKNOWLEDGED_MS = 2000
+# The response header with the store's epoch.
 EPOCH_HEADER = b"store-era"
-# Digits that an epoch may have: fencing tokens are made of it and must fit 64 bits.
-LONGEST_EPOCH = 10
-# Bytes that one page of a list, or one object, may have.
-LARGEST_ANSWER = 16 * 1024 * 1024
+# Most digits of an epoch: fencing tokens contain it and must fit 64 bits.
+MAX_EPOCH_DIGITS = 10
+# Largest page of a list or object.
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 
 class ObjectStore:
-    """Calls to the store over kept connections."""
+    """Client of the store over persistent connections."""
 
     def __init__(self, address: Address, pool: ConnectionPool) -> None:
-        """Talk to the store at an address."""
+        """Use the store at `address`."""
         self._address = address
         self._pool = pool
         self.calls = 0
@@ -77,7 +73,7 @@
     async def list(self, kind: str) -> Snapshot:
         """Return all objects of a kind, read page by page.
 
-        Raises OldEpochError where the store came back from a copy between two pages.
+        Raises OldEpochError if the store was restored from a backup between two pages.
         """
         items: list[StoredObject] = []
         malformed: list[MalformedObject] = []
@@ -89,26 +85,26 @@
             page = read_page(kind, raw, self.epochs.current)
             items += page.items
             malformed += page.malformed
-            # The oldest page's revision is safe to watch from: nothing after it is missed.
+            # A watch from the first page's revision misses no change.
             first = first or page.revision
             if first.epoch != page.revision.epoch:
-                raise OldEpochError(f"{kind}: the first page is of {first}")
+                raise OldEpochError(f"{kind}: the first page is of {first}, a later one is not")
             complete = not page.more
             if complete or page.last in ("", after):
                 return Snapshot(tuple(items), first, tuple(malformed), complete)
             after = page.last
 
     async def watch(self, kind: str, since: StoreRevision, seconds: float) -> Changes:
-        """Wait for changes after a revision; raise HistoryGoneError where they are forgotten.
+        """Wait for changes after a revision; raise HistoryGoneError if they are not available.
 
-        That is also where the answer is of another epoch: a store that has passed the number again
-        takes the watch, and tells nothing of what it has written before it.
+        That includes a response of another epoch: a restored store that has reached the revision's
+        number again accepts the watch, but does not return the changes before it.
         """
         path = f"/v1/objects/{kind}?watch={since.number}&waitMs={int(seconds * 1000)}"
         raw = await self._call(b"GET", path, None, seconds + WATCH_MARGIN_SECONDS)
-        seen = read_changes(kind, raw, self.epochs.current)
-        _check_epoch(since, seen.revision, path)
-        return seen
+        changes = read_changes(kind, raw, self.epochs.current)
+        _check_epoch(since, changes.revision, path)
+        return changes
 
     async def get(self, kind: str, name: str) -> StoredObject:
         """Return one object; raise NotFoundError."""
@@ -117,7 +113,7 @@
         return read_object(kind, raw, self.epochs.current)
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Make an object; raise ConflictError where it is there."""
+        """Create an object; raise ConflictError if it exists."""
         body = {"metadata": {"name": name}, "spec": spec}
         raw = await self._call(b"POST", f"/v1/objects/{kind}", body)
         return read_object(kind, raw, self.epochs.current)
@@ -125,11 +121,11 @@
     async def replace(
         self, kind: str, name: str, spec: Any, revision: StoreRevision | None
     ) -> StoredObject:
-        """Replace an object at a revision; raise ConflictError where it is at another.
+        """Replace an object at a revision; raise ConflictError if it is at another.
 
-        A revision of another epoch is another one: the write is not sent, or, where only its answer
-        tells of the return, it may have been done and counts as not done. Without a revision
-        whatever stands there is replaced.
+        A revision of another epoch is a conflict: the write is not sent. If only the response
+        shows the new epoch, the write may have taken effect although ConflictError is raised.
+        Without a revision, any version is replaced.
         """
         metadata: dict[str, Any] = {"name": name}
         if revision is not None:
@@ -147,52 +143,54 @@
         self, method: bytes, path: str, body: Any, seconds: float = CALL_SECONDS
     ) -> Any:
         self.calls += 1
-        request = self._build(method, path, body)
-        timeouts = CallTimeouts(seconds, BYTE_SECONDS)
+        request = self._build_request(method, path, body)
+        timeouts = CallTimeouts(seconds, BYTE_TIMEOUT_SECONDS)
         try:
             head, content = await call_once(
-                self._pool, POOL_NAME, self._address, request, LARGEST_ANSWER, timeouts
+                self._pool, POOL_NAME, self._address, request, MAX_RESPONSE_BYTES, timeouts
             )
         except (UpstreamBrokenError, TimeoutError) as error:
             raise PlatformUnavailableError(f"{method.decode()} {path}: {error!r}") from None
-        self._note_epoch(head)
+        self._apply_epoch(head)
         check_status(head.status, path)
         return decode_answer(path, content)
 
-    def _note_epoch(self, head: ResponseHead) -> None:
-        """Take over the epoch that an answer names; raise OldEpochError."""
+    def _apply_epoch(self, head: ResponseHead) -> None:
+        """Apply the epoch of a response; raise OldEpochError."""
         text = find_header(head.headers, EPOCH_HEADER)
-        named = _read_epoch(text)
-        if named is None and text:
+        epoch = _read_epoch(text)
+        if epoch is None and text:
             self.epochs.note_unreadable(text.decode("latin-1"))
-        self.epochs.take(named, asyncio.get_running_loop().time())
+        self.epochs.take(epoch, asyncio.get_running_loop().time())
 
-    def _build(self, method: bytes, path: str, body: Any) -> OutgoingRequest:
+    def _build_request(self, method: bytes, path: str, body: Any) -> OutgoingRequest:
         host = f"{self._address[0]}:{self._address[1]}".encode()
         headers = [(b"Host", host)]
         if body is None:
             return OutgoingRequest(method, path.encode(), headers, Framing.NONE, 0, None)
         content = orjson.dumps(body)
-        sent = Body.from_bytes(content)
+        request_body = Body.from_bytes(content)
         headers.append((b"Content-Type", b"application/json"))
-        return OutgoingRequest(method, path.encode(), headers, Framing.LENGTH, len(content), sent)
+        return OutgoingRequest(
+            method, path.encode(), headers, Framing.LENGTH, len(content), request_body
+        )
 
 
 def _read_epoch(text: bytes) -> int | None:
-    """Return the epoch of a header, or None where it names none that can be read."""
-    if not text.isdigit() or len(text) > LONGEST_EPOCH:
+    """Return the epoch of a header, or None if it cannot be read."""
+    if not text.isdigit() or len(text) > MAX_EPOCH_DIGITS:
         return None
     return int(text)
 
 
-def _check_epoch(since: StoreRevision, answered: StoreRevision, path: str) -> None:
-    """Raise HistoryGoneError where an answer is of another epoch than what it follows."""
-    if since.epoch != answered.epoch:
-        raise HistoryGoneError(f"{path}: {since} is of another epoch than {answered}")
+def _check_epoch(since: StoreRevision, received: StoreRevision, path: str) -> None:
+    """Raise HistoryGoneError if a response is of another epoch than the watched revision."""
+    if since.epoch != received.epoch:
+        raise HistoryGoneError(f"{path}: {since} is of another epoch than {received}")
 
 
 def check_status(status: int, path: str) -> None:
-    """Raise the error of an answer that is none to work with."""
+    """Raise the error that belongs to a response status."""
     if status < 300:
         return
     if status == 404:
--- a/src/swifttrestle/platform/wire.py
+++ b/src/swifttrestle/platform/wire.py
@@ -1,4 +1,4 @@
-"""Header names of the platform's protocol, and the translation of requests and answers."""
+"""Headers of the platform's protocol: their names, and how they are read and rewritten."""
 
 import math
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 EXPECTED_INSTANCE = b"x-expect-instance"
 INSTANCE = b"x-instance-id"
 PROMPT_PARTS = b"x-prompt-prefix"
-# The sizes of the prompt and of the longest answer, in tokens, by a comma.
+# The sizes of the prompt and of the longest response in tokens, separated by a comma.
 TOKEN_SIZES = b"x-token-usage"
 MODEL = b"x-model"
 STAGE = b"x-stage"
@@ -26,13 +26,13 @@
 KEY = b"x-key"
 WORKSPACE = b"x-tenant"
 
-# What only the system may set; a caller's own values are dropped.
-_SYSTEM_HEADERS = frozenset(
+# Headers that only gateways may set; callers' values are dropped.
+_GATEWAY_HEADERS = frozenset(
     (STAGE, KV_SOURCE, PRIORITY, EXPECTED_INSTANCE, DEADLINE, b"x-expect-version",
      b"x-kv-hold", b"x-kv-backup", b"x-pin-ms", FETCH_FROM)
 )  # fmt: skip
-# What concerns one connection only.
-_CONNECTION_HEADERS = frozenset(
+# Hop-by-hop headers.
+_HOP_BY_HOP_HEADERS = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"upgrade",
      b"transfer-encoding", b"content-length", b"expect", b"proxy-authenticate",
      b"proxy-authorization")
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class RequestMetadata:
-    """What the headers of a request say; `patience` is in seconds, None where not given."""
+    """Metadata from a request's headers; `patience`, the deadline, is in seconds or None."""
 
     request_id: bytes
     patience: float | None
@@ -52,20 +52,20 @@
 
 
 def read_request_metadata(headers: Sequence[Header]) -> RequestMetadata:
-    """Return the facts of a request; what cannot be read counts as not given."""
+    """Return the metadata of a request; values that cannot be read count as missing."""
     found = {name.lower(): value for name, value in headers}
     sizes = found.get(TOKEN_SIZES, b"").split(b",")
     return RequestMetadata(
         request_id=found.get(REQUEST_ID, b""),
         patience=_read_milliseconds(found.get(DEADLINE)),
         model=found.get(MODEL, b"").decode("latin-1"),
-        prompt_tokens=_read_whole(sizes[0]),
-        output_tokens=_read_whole(sizes[1]) if len(sizes) > 1 else 0,
+        prompt_tokens=_read_integer(sizes[0]),
+        output_tokens=_read_integer(sizes[1]) if len(sizes) > 1 else 0,
         parts=_read_parts(found.get(PROMPT_PARTS, b"")),
     )
 
 
-def _read_whole(value: bytes) -> int:
+def _read_integer(value: bytes) -> int:
     return int(value) if value.strip().isdigit() else 0
 
 
@@ -88,10 +88,10 @@
 
 @dataclass(frozen=True)
 class ForwardingHeaders:
-    """What the system adds to a forwarded request; `left` is in seconds.
+    """Headers that the gateway adds to a forwarded request; `left` is the deadline in seconds.
 
-    `fetch_from` is the address of another engine, from which this one first copies what that one
-    keeps of the prompt beyond its own.
+    `fetch_from` is the address of another engine, from which the upstream first copies the cached
+    prompt parts that it lacks.
     """
 
     instance: str
@@ -104,14 +104,14 @@
 
 
 def strip_request_headers(headers: Sequence[Header]) -> list[Header]:
-    """Return a caller's headers without those of its connection and those of the system."""
-    named = _list_named_by_connection(headers)
+    """Return a caller's headers without hop-by-hop headers and those only gateways may set."""
+    connection_names = _list_connection_names(headers)
     return [
         (name, value)
         for name, value in headers
-        if (low := name.lower()) not in _CONNECTION_HEADERS
-        and low not in _SYSTEM_HEADERS
-        and low not in named
+        if (lower_name := name.lower()) not in _HOP_BY_HOP_HEADERS
+        and lower_name not in _GATEWAY_HEADERS
+        and lower_name not in connection_names
     ]
 
 
@@ -121,9 +121,9 @@
 
 
 def set_workspace_header(stripped: Sequence[Header], workspace: str | None) -> list[Header]:
-    """Return a request's headers with its workspace's name in place of the caller's key.
+    """Return a request's headers with the workspace's name instead of the caller's key.
 
-    What the caller itself wrote for a workspace is dropped, also where no workspace is named.
+    A workspace header that the caller sent is always dropped.
     """
     headers = [item for item in stripped if item[0].lower() not in (KEY, WORKSPACE)]
     if workspace is not None:
@@ -152,29 +152,31 @@
 
 
 def strip_answer_headers(headers: Sequence[Header]) -> list[Header]:
-    """Return an upstream's headers without those of its connection."""
-    named = _list_named_by_connection(headers)
+    """Return an upstream's headers without hop-by-hop headers."""
+    connection_names = _list_connection_names(headers)
     return [
         (name, value)
         for name, value in headers
-        if (low := name.lower()) not in _CONNECTION_HEADERS and low not in named
+        if (lower_name := name.lower()) not in _HOP_BY_HOP_HEADERS
+        and lower_name not in connection_names
     ]
 
 
-def _list_named_by_connection(headers: Sequence[Header]) -> frozenset[bytes]:
-    named: set[bytes] = set()
+def _list_connection_names(headers: Sequence[Header]) -> frozenset[bytes]:
+    """Return the header names that Connection headers list as hop-by-hop."""
+    names: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(token.strip().lower() for token in value.split(b","))
-    return frozenset(named)
+            names.update(token.strip().lower() for token in value.split(b","))
+    return frozenset(names)
 
 
 @dataclass(frozen=True)
 class ResponseMetadata:
-    """What the head of an upstream's answer proves.
+    """Metadata from the head of an upstream's response.
 
-    `replaced` says that another instance now answers at the address. An engine also answers
-    421 to a request that is not for its role, and names itself.
+    `replaced` tells that another instance now listens at the address. An engine also responds with
+    421 to a request that its role does not serve, but then with its own instance id.
     """
 
     request_id: bytes
@@ -186,32 +188,35 @@
 def read_response_metadata(
     status: int, headers: Sequence[Header], expected: str
 ) -> ResponseMetadata:
-    """Return what an answer proves; only 421 and the explicit header say that nothing ran.
+    """Return the metadata of a response; only 421 and the explicit header mean that nothing ran.
 
-    `expected` is the instance that the request was meant for.
+    `expected` is the instance that the request was sent to.
     """
     found = {name.lower(): value for name, value in headers}
     return ResponseMetadata(
         request_id=found.get(REQUEST_ID, b""),
         signed=ANSWER_SIGNATURE in found,
-        not_run=status == _MISDIRECTED or NOT_RUN in found,
-        replaced=status == _MISDIRECTED and found.get(INSTANCE) != expected.encode(),
+        not_run=status == _MISDIRECTED_REQUEST or NOT_RUN in found,
+        replaced=status == _MISDIRECTED_REQUEST and found.get(INSTANCE) != expected.encode(),
     )
 
 
 def is_from_instance(status: int, headers: Sequence[Header], expected: str) -> bool:
-    """Return whether an answer is one of the expected instance, not of a later one there."""
-    return status != _MISDIRECTED or not read_response_metadata(status, headers, expected).replaced
+    """Return whether a response is from the expected instance, not from one that replaced it."""
+    return (
+        status != _MISDIRECTED_REQUEST
+        or not read_response_metadata(status, headers, expected).replaced
+    )
 
 
 def has_request_id(headers: Sequence[Header]) -> bool:
-    """Return whether an answer is one to a request, not to a call of the system itself."""
+    """Return whether a response belongs to a caller's request, not to a gateway's own call."""
     return any(name.lower() == REQUEST_ID for name, _ in headers)
 
 
 def write_request_id(request_id: bytes) -> Header:
-    """Return the header that tells a caller which request an answer belongs to."""
+    """Return the header with the request id of a response."""
     return (b"X-Request-Id", request_id)
 
 
-_MISDIRECTED = 421
+_MISDIRECTED_REQUEST = 421
--- a/src/swifttrestle/resources.py
+++ b/src/swifttrestle/resources.py
@@ -1,7 +1,7 @@
-"""The kinds of resources that operators declare, with the check of each field.
+"""The kinds of resources that operators declare, and their validation.
 
-A resource is a frozen data class. Fields carry their check and description, so that
-`swifttrestle-ctl explain`, the error messages and the parser share one source.
+A resource is a frozen data class. Its fields carry their check and description, which the parser,
+the error messages and `swifttrestle-ctl explain` use.
 """
 
 import dataclasses
@@ -22,7 +22,12 @@
     check_number,
     check_sha256,
 )
-from swifttrestle.internal.described import check_field, described, find_unknown, is_required
+from swifttrestle.internal.validated_fields import (
+    check_field,
+    find_unknown,
+    is_required,
+    validated_field,
+)
 
 DAY_MS = 86_400_000
 PRIORITIES = ("urgent", "normal", "background")
@@ -31,7 +36,7 @@
 
 @dataclass(frozen=True)
 class FieldFault:
-    """Why a resource was not accepted: the field, its value's message and the mend."""
+    """Why a resource is invalid; `message` has the value and the fix."""
 
     resource: str
     field: str
@@ -50,7 +55,7 @@
 
 
 def check_optional_name(value: Any) -> str:
-    """Return a name, or the empty string for none."""
+    """Return a name or the empty string."""
     return "" if value == "" else check_name(value)
 
 
@@ -64,18 +69,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Resource:
-    """Base of all kinds; `name` is unique within a kind."""
+    """Base class of all kinds; `name` is unique within a kind."""
 
     KIND: ClassVar[str] = ""
-    name: str = described("Name, unique within its kind.", check_name)
+    name: str = validated_field("Name, unique within its kind.", check_name)
 
     @property
     def key(self) -> str:
-        """Kind and name, as in messages."""
+        """Kind and name."""
         return f"{self.KIND}/{self.name}"
 
     def spec(self) -> dict[str, Any]:
-        """Return the fields but the name as plain values."""
+        """Return all fields except the name as plain values."""
         values = {item.name: getattr(self, item.name) for item in fields(self)}
         del values["name"]
         return {key: list(v) if isinstance(v, tuple) else v for key, v in values.items()}
@@ -83,15 +88,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Workspace(Resource):
-    """A group of callers with keys of its own."""
+    """A group of callers with its own keys."""
 
     KIND: ClassVar[str] = "Workspace"
-    key_sha256: tuple[str, ...] = described(
+    key_sha256: tuple[str, ...] = validated_field(
         "SHA-256 digests of the keys that callers may send; two while one is being replaced.",
         check_digests,
     )
-    share: float = described(
-        "Weight of this workspace's waiting requests against the others'.",
+    share: float = validated_field(
+        "Weight of this workspace's waiting requests relative to other workspaces.",
         partial(check_number, low=0.01, high=100),
         1.0,
     )
@@ -99,13 +104,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Model(Resource):
-    """A base model and the version that engines are to hold."""
+    """A base model and the version that engines load."""
 
     KIND: ClassVar[str] = "Model"
-    versions: tuple[str, ...] = described(
-        "Versions that engines may hold and callers may meet.", check_versions
+    versions: tuple[str, ...] = validated_field(
+        "Versions that engines may hold and serve.", check_versions
     )
-    version: str = described("The version that engines are to load.", check_name)
+    version: str = validated_field("The version that engines are to load.", check_name)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -113,46 +118,46 @@
     """A set of adapter weights on top of a base model."""
 
     KIND: ClassVar[str] = "Adapter"
-    model: str = described("The base model it belongs to.", check_name)
-    version: str = described("The version that engines are to load.", check_name)
+    model: str = validated_field("The base model it belongs to.", check_name)
+    version: str = validated_field("The version that engines are to load.", check_name)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Service(Resource):
-    """What callers call: a model served for a purpose, or a plain service."""
+    """A service that callers can call: a model or a plain service."""
 
     KIND: ClassVar[str] = "Service"
-    type: str = described(
+    type: str = validated_field(
         "'model' for model engines, 'plain' for plain services.",
         partial(check_choice, choices=("model", "plain")),
     )
-    model: str = described("The model; for type 'model' only.", check_optional_name, "")
-    adapter: str = described("The adapter; empty for none.", check_optional_name, "")
-    priority: str = described(
-        "Class of its requests: urgent goes first and has reserved room.",
+    model: str = validated_field("The model; for type 'model' only.", check_optional_name, "")
+    adapter: str = validated_field("The adapter; empty for none.", check_optional_name, "")
+    priority: str = validated_field(
+        "Class of its requests: urgent goes first and has reserved capacity.",
         partial(check_choice, choices=PRIORITIES),
         "normal",
     )
-    deadline_ms: int = described(
-        "Milliseconds from arrival to the whole answer, unless the caller says less.",
+    deadline_ms: int = validated_field(
+        "Milliseconds from arrival to the complete response, unless the caller gives less.",
         partial(check_integer, low=10, high=DAY_MS),
         60_000,
     )
-    max_tokens: int = described(
-        "Most tokens of an answer, and the number where the caller gives none.",
+    max_tokens: int = validated_field(
+        "Most tokens of a response, and the default if the caller gives none.",
         partial(check_integer, low=1, high=1_000_000),
         512,
     )
-    repeatable: bool = described(
-        "Whether a call may be sent again when its answer was lost.", check_bool, True
+    repeatable: bool = validated_field(
+        "Whether a call may be sent again when its response was lost.", check_bool, True
     )
-    claim: str = described(
-        "Where the id of a may-not-repeat call is noted: 'entry' (memory of the entry) or "
-        "'platform' (one write a call, refused while the object API is down).",
+    claim: str = validated_field(
+        "Where the id of a may-not-repeat call is recorded: 'entry' (memory of the entry) or "
+        "'platform' (one write per call, refused while the object API is down).",
         partial(check_choice, choices=("entry", "platform")),
         "entry",
     )
-    workspaces: tuple[str, ...] = described(
+    workspaces: tuple[str, ...] = validated_field(
         "Workspaces that may call it; empty for all.", check_names, ()
     )
 
@@ -162,86 +167,86 @@
     """A model engine or an instance of a plain service."""
 
     KIND: ClassVar[str] = "Upstream"
-    type: str = described(
+    type: str = validated_field(
         "'engine' or 'plain'.", partial(check_choice, choices=("engine", "plain"))
     )
-    address: str = described("Address it listens on, HOST:PORT.", check_address)
-    zone: str = described("Availability zone.", check_name)
-    model: str = described("The model it is to hold; for engines.", check_optional_name, "")
-    services: tuple[str, ...] = described(
+    address: str = validated_field("Address it listens on, HOST:PORT.", check_address)
+    zone: str = validated_field("Availability zone.", check_name)
+    model: str = validated_field("The model it is to hold; for engines.", check_optional_name, "")
+    services: tuple[str, ...] = validated_field(
         "The plain services it answers; for type 'plain'.", check_names, ()
     )
-    fencing: str = described(
-        "'checked' if it refuses orders with an old fencing token, 'ignored' if it obeys any.",
+    fencing: str = validated_field(
+        "'checked' if it refuses orders with an old fencing token, 'ignored' if it accepts any.",
         partial(check_choice, choices=("checked", "ignored")),
         "ignored",
     )
-    role: str = described(
-        "Role at first, and for good if the policy plans no roles.",
+    role: str = validated_field(
+        "Initial role, which stays if the policy plans no roles.",
         partial(check_choice, choices=ROLES),
         "mixed",
     )
-    slots: int = described(
-        "Requests it runs at once; a first guess, corrected by its reports.",
+    slots: int = validated_field(
+        "Requests it runs at once; an estimate that its reports replace.",
         partial(check_integer, low=1, high=100_000),
         16,
     )
 
     @property
     def pool(self) -> str:
-        """The pool that one lease covers: a model in an availability zone."""
+        """The pool of engines under one lease: those of a model in an availability zone."""
         return f"{self.model}.{self.zone}"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Policy(Resource):
-    """Weights and bounds of the decisions; the one named 'default' is used."""
+    """Weights and limits of scheduling decisions; the policy named 'default' is used."""
 
     KIND: ClassVar[str] = "Policy"
-    plan_roles: bool = described(
+    plan_roles: bool = validated_field(
         "Whether engines' roles are changed; off by default, see docs/design/roles.md.",
         check_bool,
         False,
     )
-    role_change_weight: float = described(
-        "Goodput against role changes: 0 changes roles whenever it gains anything, 1 only "
-        "for a lasting and large gain.",
+    role_change_weight: float = validated_field(
+        "Goodput against role changes: 0 changes roles for any gain, 1 only for a lasting and "
+        "large gain.",
         partial(check_number, low=0, high=1),
         0.3,
     )
-    role_dwell_seconds: float = described(
+    role_dwell_seconds: float = validated_field(
         "Least seconds between two role changes of one engine.",
         partial(check_number, low=0, high=86_400),
         60.0,
     )
-    role_floor: int = described(
+    role_floor: int = validated_field(
         "Least engines of a pool that can take prefill work, and likewise decode work.",
         partial(check_integer, low=1, high=1000),
         1,
     )
-    urgent_reserve: float = described(
-        "Share of each upstream's room that only urgent requests may use.",
+    urgent_reserve: float = validated_field(
+        "Share of each upstream's capacity that only urgent requests may use.",
         partial(check_number, low=0, high=0.9),
         0.15,
     )
-    queue_limit: int = described(
-        "Most requests that wait in one entry for room.",
+    queue_limit: int = validated_field(
+        "Most requests that wait for capacity in one entry.",
         partial(check_integer, low=0, high=100_000),
         64,
     )
-    retry_ratio: float = described(
+    retry_ratio: float = validated_field(
         "Retries as a share of requests.", partial(check_number, low=0, high=1), 0.1
     )
-    attempts: int = described(
+    attempts: int = validated_field(
         "Most attempts of one request.", partial(check_integer, low=1, high=10), 3
     )
-    ejection_cap: float = described(
-        "Largest share of a service's upstreams that are left out for being broken.",
+    ejection_cap: float = validated_field(
+        "Largest share of a service's upstreams that may be ejected as broken.",
         partial(check_number, low=0, high=1),
         0.34,
     )
-    return_seconds: float = described(
-        "Seconds over which an upstream that was left out comes back to its full share.",
+    return_seconds: float = validated_field(
+        "Seconds over which an ejected upstream returns to its full share.",
         partial(check_number, low=0, high=600),
         10.0,
     )
@@ -252,9 +257,8 @@
     """Takes an upstream out of use; the name is the upstream's."""
 
     KIND: ClassVar[str] = "Drain"
-    mode: str = described(
-        "'drain': no new work, it comes back when this resource is deleted; 'withdraw': it "
-        "leaves for good.",
+    mode: str = validated_field(
+        "'drain': no new work until this resource is deleted; 'withdraw': it leaves permanently.",
         partial(check_choice, choices=("drain", "withdraw")),
         "drain",
     )
@@ -266,7 +270,7 @@
 
 
 def parse_resource(kind: str, name: Any, spec: Any) -> Result[Resource, tuple[FieldFault, ...]]:
-    """Build a resource from plain values, or return every fault of its fields."""
+    """Build a resource from plain values, or return all of its faults."""
     label = f"{kind}/{name}"
     if kind not in KINDS:
         message = f"{kind!r} is no kind; give one of {', '.join(KINDS)}"
@@ -275,7 +279,7 @@
         return Failure((FieldFault(label, "spec", f"{spec!r} is no mapping; give fields"),))
     values = {**spec, "name": name}
     faults = [
-        FieldFault(label, repr(unknown), f"no field of {kind}; drop it or see `explain {kind}`")
+        FieldFault(label, repr(unknown), f"no field of {kind}; remove it or see `explain {kind}`")
         for unknown in find_unknown(KINDS[kind], values)
     ]
     checked: dict[str, Any] = {}
@@ -295,7 +299,7 @@
 
 @dataclass(frozen=True)
 class ResourceSet:
-    """All resources of one configuration, by kind and name."""
+    """The resources of one configuration, by kind and name."""
 
     workspaces: Mapping[str, Workspace] = dataclasses.field(default_factory=dict)
     models: Mapping[str, Model] = dataclasses.field(default_factory=dict)
@@ -323,15 +327,15 @@
 
 
 def group_resources(resources: Iterable[Resource]) -> ResourceSet:
-    """Sort resources by kind."""
-    sorted_out: dict[str, dict[str, Any]] = {field: {} for field in _FIELD_OF_KIND.values()}
+    """Group resources by kind."""
+    groups: dict[str, dict[str, Any]] = {field: {} for field in _FIELD_OF_KIND.values()}
     for resource in resources:
-        sorted_out[_FIELD_OF_KIND[resource.KIND]][resource.name] = resource
-    return ResourceSet(**sorted_out)
+        groups[_FIELD_OF_KIND[resource.KIND]][resource.name] = resource
+    return ResourceSet(**groups)
 
 
 def find_faults(given: ResourceSet) -> list[FieldFault]:
-    """Return what is wrong between resources: names that nothing has, fields that clash."""
+    """Return the faults between resources: references to undeclared names, conflicting fields."""
     faults: list[FieldFault] = []
     for model in given.models.values():
         if model.version not in model.versions:
@@ -354,15 +358,15 @@
     if service.type == "model" and service.model not in given.models:
         faults.append(_missing(service, "model", service.model, given.models))
     if service.type == "plain" and (service.model or service.adapter):
-        message = f"{service.model or service.adapter!r} on a plain service; drop it"
+        message = f"{service.model or service.adapter!r} on a plain service; remove it"
         faults.append(FieldFault(service.key, "model", message))
     if service.adapter:
         adapter = given.adapters.get(service.adapter)
         if adapter is None:
             faults.append(_missing(service, "adapter", service.adapter, given.adapters))
         elif adapter.model != service.model:
-            message = f"{service.adapter!r} belongs to model {adapter.model!r}, not to this one"
-            faults.append(FieldFault(service.key, "adapter", message + "; give one that does"))
+            message = f"{service.adapter!r} belongs to model {adapter.model!r}"
+            faults.append(FieldFault(service.key, "adapter", message + "; give one of this model"))
     for name in service.workspaces:
         if name not in given.workspaces:
             faults.append(_missing(service, "workspaces", name, given.workspaces))
--- a/tests/cover/test_codes.py
+++ b/tests/cover/test_codes.py
@@ -1,4 +1,4 @@
-"""One table of result codes, shared by code and docs."""
+"""The table of result codes and its page in the docs."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
     assert set(TABLE) == set(Code)
 
 
-def test_the_page_has_exactly_the_table():
+def test_the_docs_page_has_exactly_the_rows_of_the_table():
     rows = [
         f"| {int(code)} | {code.name} | {entry.status or ''} | "
         f"{entry.ran.value if entry.ran else ''} | {entry.meaning} |"
@@ -24,8 +24,8 @@
     ] == rows
 
 
-def test_every_error_has_a_code_of_its_own_kind():
-    kinds = [v for v in vars(errors).values() if isinstance(v, type)]
-    for kind in kinds:
-        if issubclass(kind, errors.SwifttrestleError):
-            assert kind.code in TABLE
+def test_every_exception_class_has_a_code_of_the_table():
+    classes = [v for v in vars(errors).values() if isinstance(v, type)]
+    for exception_class in classes:
+        if issubclass(exception_class, errors.SwifttrestleError):
+            assert exception_class.code in TABLE
--- a/tests/cover/test_examples.py
+++ b/tests/cover/test_examples.py
@@ -1,11 +1,11 @@
-"""The ready example files are valid, together, at the sizes of today."""
+"""The resource files in `examples` are valid."""
 
 from pathlib import Path
 
 import pytest
 
 from swifttrestle.errors import InvalidResourceError
-from swifttrestle.internal.files import read_documents
+from swifttrestle.internal.resource_files import read_documents
 from swifttrestle.resources import find_faults, group_resources, parse_resource
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
@@ -24,23 +24,23 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("kind: Service\nname: x\nspec: {type: odd}\n", "bad.yaml: Service/x: type: 'odd' is not"),
         (
             "kind: Model\nname: X Y\nspec: {versions: [a], version: a}\n",
             "name: 'X Y' is not a name",
         ),
-        ("- a\n- b\n", "is no resource; give kind, name and spec"),
-        ("kind: [", "no YAML"),
-        ("kind: Drain\nname: a\nspec: {}\n---\nkind: Drain\nname: a\nspec: {}\n", "stands in"),
-        ("", "no resource file there"),
+        ("- a\n- b\n", "is not a resource; give kind, name and spec"),
+        ("kind: [", "invalid YAML"),
+        ("kind: Drain\nname: a\nspec: {}\n---\nkind: Drain\nname: a\nspec: {}\n", "is also in"),
+        ("", "no resource file found"),
     ],
 )
-def test_a_bad_file_names_file_field_value_and_mend(text, said, tmp_path):
+def test_an_invalid_file_is_reported_with_file_field_and_value(text, message, tmp_path):
     path = tmp_path / "bad.yaml"
     if text:
         path.write_text(text)
     with pytest.raises(InvalidResourceError) as caught:
         read_documents((str(tmp_path),))
-    assert said in str(caught.value)
+    assert message in str(caught.value)
--- a/tests/cover/test_explanation.py
+++ b/tests/cover/test_explanation.py
@@ -1,4 +1,4 @@
-"""The story of a request from the logs of several hosts."""
+"""The timeline of a request from the logs of several hosts."""
 
 import orjson
 import pytest
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "shown"),
     [
         (LogLine(95.0, "h2", "instance left out", {"instance": "d1", "reason": "reset"}), True),
         (LogLine(99.0, "h3", "role ordered", {"engine": "p1", "role": "decode"}), True),
@@ -36,16 +36,16 @@
         (LogLine(99.0, "h1", "request", {"id": "r2", "steps": []}), False),
     ],
 )
-def test_what_explains_a_request_is_told_and_nothing_else(line, told):
-    story = explain_request([REQUEST, line], "r1")
-    assert len(story) == 5 + told
+def test_only_events_that_may_concern_the_request_are_shown(line, shown):
+    timeline = explain_request([REQUEST, line], "r1")
+    assert len(timeline) == 5 + shown
 
 
 NAMED = LogLine(100.2, "h1", "request", {**REQUEST.fields, "name": "aa-bb"})
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "shown"),
     [
         (LogLine(100.3, "h2", "upstream crashed", {"open": ["cc-dd", "aa-bb"]}), True),
         (LogLine(100.3, "h2", "upstream crashed", {"open": ["cc-dd"]}), False),
@@ -55,19 +55,19 @@
         (LogLine(102.0, "h2", "request quarantined", {"name": "aa-bb"}), False),
     ],
 )  # fmt: skip
-def test_what_is_known_of_a_request_by_its_name_is_told_however_long_before(line, told):
-    story = explain_request([NAMED, line], "r1")
-    assert len(story) == 5 + told
+def test_crash_events_of_the_request_are_shown_however_old_they_are(line, shown):
+    timeline = explain_request([NAMED, line], "r1")
+    assert len(timeline) == 5 + shown
 
 
-def test_the_story_goes_in_order_of_time_from_the_arrival():
+def test_the_timeline_is_sorted_and_starts_at_the_arrival():
     early = LogLine(99.0, "h3", "instance left out", {"instance": "d1"})
-    story = explain_request([REQUEST, early], "r1")
-    assert [line.split()[0] for line in story] == [
+    timeline = explain_request([REQUEST, early], "r1")
+    assert [line.split()[0] for line in timeline] == [
         "-1.000", "+0.000", "+0.005", "+0.150", "+0.190", "+0.200",
     ]  # fmt: skip
-    assert "by h2" in story[2]
-    assert "ends with ANSWER_LOST" in story[-1]
+    assert "by h2" in timeline[2]
+    assert "ends with ANSWER_LOST" in timeline[-1]
 
 
 def write_logs(folder):
@@ -77,12 +77,12 @@
     (folder / "h1" / "out.log").write_bytes(b"\n".join(lines))
 
 
-def test_lines_are_read_from_all_files_and_others_left_out(tmp_path):
+def test_lines_are_read_from_all_files_and_other_content_is_skipped(tmp_path):
     write_logs(tmp_path)
     assert list(read_log_lines(tmp_path)) == [REQUEST]
 
 
-def test_the_command_tells_the_story_or_what_is_missing(tmp_path, capsys):
+def test_the_command_prints_the_timeline_or_reports_an_unknown_request(tmp_path, capsys):
     write_logs(tmp_path)
     Ctl().explain_request("r1", str(tmp_path))
     assert "decoder d1 failed: reset" in capsys.readouterr().out
--- a/tests/cover/test_lines.py
+++ b/tests/cover/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines: one for each decision, bounded, never blocking."""
+"""Log lines are JSON and never block; dropped lines are counted."""
 
 import os
 import threading
@@ -6,43 +6,43 @@
 import orjson
 
 from swifttrestle.internal import event_log
-from swifttrestle.internal.event_log import QUEUE_LINES, LineWriter
+from swifttrestle.internal.event_log import MAX_QUEUED_LINES, LineWriter
 
 
-def test_a_reader_that_is_stuck_holds_nobody_up_and_what_was_dropped_is_told():
+def test_a_stuck_reader_does_not_block_and_dropped_lines_are_reported():
     reading, writing = os.pipe()
     try:
         writer = LineWriter(writing)
         writer.start("h")
-        # Nobody reads: the pipe fills, the thread blocks, the queue fills, lines are dropped.
-        for number in range(4 * QUEUE_LINES):
+        # Nothing is read, so the pipe fills, the thread blocks, the queue fills and lines drop.
+        for number in range(4 * MAX_QUEUED_LINES):
             writer.put("request", {"id": number, "text": "x" * 200})
         assert writer.dropped > 0
-        seen = []
-        told = threading.Event()
+        received = []
+        drops_reported = threading.Event()
 
         def read():
             with os.fdopen(reading, "rb", closefd=False) as stream:
                 for line in stream:
-                    seen.append(orjson.loads(line))
-                    if "lines_dropped" in seen[-1]:
-                        told.set()
+                    received.append(orjson.loads(line))
+                    if "lines_dropped" in received[-1]:
+                        drops_reported.set()
                         return
 
         reader = threading.Thread(target=read, daemon=True)
         reader.start()
-        while not told.wait(0.05):
+        while not drops_reported.wait(0.05):
             writer.put("later", {})
-        assert seen[0]["event"] == "request"
-        assert seen[0]["host"] == "h"
-        assert seen[-1]["lines_dropped"] > 0
+        assert received[0]["event"] == "request"
+        assert received[0]["host"] == "h"
+        assert received[-1]["lines_dropped"] > 0
     finally:
         os.close(reading)
         os.close(writing)
 
 
 def test_lines_are_json_with_time_host_and_event(tmp_path, monkeypatch):
-    monkeypatch.setattr(event_log, "DRAIN_SECONDS", 0.0)
+    monkeypatch.setattr(event_log, "FLUSH_INTERVAL_SECONDS", 0.0)
     with (tmp_path / "out").open("wb") as out:
         writer = LineWriter(out.fileno())
         writer.start("host-1")
--- a/tests/cover/test_platform_adapter.py
+++ b/tests/cover/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the platform: settings, records, headers, datagrams; bad input."""
+"""The adapter to the platform: settings, records, headers, datagrams and malformed input."""
 
 import copy
 from pathlib import Path
@@ -64,7 +64,7 @@
         ("bounds.budgetRatio", -1),
     ],
 )
-def test_a_wrong_setting_is_told_by_its_name(path, value):
+def test_an_invalid_setting_is_reported_by_name(path, value):
     raw = copy.deepcopy(GOOD)
     *parents, last = path.split(".")
     place = raw
@@ -76,14 +76,14 @@
 
 
 @pytest.mark.parametrize("path", ["nodeName", "zone", "listen", "bounds", "platform"])
-def test_a_missing_setting_is_told_by_its_name(path):
+def test_a_missing_setting_is_reported_by_name(path):
     raw = {name: value for name, value in GOOD.items() if name != path}
     with pytest.raises(InvalidSettingError, match=f"{path} is missing"):
         read_host_settings(raw)
 
 
 @pytest.mark.parametrize("content", [None, b"", b"{", b"[]"])
-def test_a_file_that_cannot_be_read_is_told_with_its_path(tmp_path, content):
+def test_an_unreadable_settings_file_is_reported(tmp_path, content):
     path = tmp_path / "node.json"
     if content is not None:
         path.write_bytes(content)
@@ -106,20 +106,20 @@
         ({"type": "of a later version"}, RetrySafety.AT_MOST_ONCE, False),
     ],
 )
-def test_a_route_says_what_may_be_repeated(change, repeat, streaming):
+def test_the_type_of_a_route_decides_what_may_be_repeated(change, repeat, streaming):
     (route,) = read_configuration({"version": 3, "routes": [{**ROUTE, **change}]}).routes
     assert (route.repeat, route.streaming) == (repeat, streaming)
     assert (route.host, route.timeout, route.objective) == ("a.example", 1.5, 1.5)
 
 
-def test_a_split_route_keeps_its_shares_and_drops_empty_ones():
+def test_a_split_route_keeps_its_weighted_targets_and_drops_those_without_weight():
     shares = [{"service": "a", "weight": 90}, {"service": "b", "weight": 0}]
     raw = {"version": 3, "routes": [{**ROUTE, "type": "safe", "backends": shares}]}
     (route,) = read_configuration(raw).routes
     assert [(target.service, target.weight) for target in route.targets] == [("a", 90.0)]
 
 
-def test_a_record_says_where_an_upstream_is_and_whether_it_leaves():
+def test_a_record_has_the_address_state_and_role_of_an_upstream():
     raw = {"service": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 4, "state": "draining",
            "phase": "prefill", "seq": 9}  # fmt: skip
     record = read_upstream("i-1", raw)
@@ -148,7 +148,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(JSON)
-def test_whatever_lies_in_the_store_is_read_or_refused_with_a_typed_error(raw):
+def test_any_json_in_the_store_is_read_or_rejected_with_a_typed_error(raw):
     for read in (read_configuration, lambda value: read_upstream("i", value)):
         try:
             read(raw)
@@ -158,7 +158,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(JSON, st.binary(max_size=40))
-def test_whatever_an_engine_answers_is_read_or_refused_with_a_typed_error(raw, noise):
+def test_any_answer_of_an_engine_is_read_or_rejected_with_a_typed_error(raw, noise):
     for body in (orjson.dumps(raw, option=orjson.OPT_PASSTHROUGH_SUBCLASS), noise):
         for read in (read_handle, read_report):
             try:
@@ -169,14 +169,14 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=60))
-def test_whatever_comes_as_a_datagram_is_read_or_refused_with_a_typed_error(noise):
+def test_any_datagram_is_read_or_rejected_with_a_typed_error(noise):
     try:
         unpack_report(noise)
     except FrameError as error:
         assert error.code.name == "BAD_FRAME"
 
 
-def test_a_report_survives_its_datagram():
+def test_a_report_is_unpacked_from_its_datagram_unchanged():
     report = PeerReport(
         "h", "10.0.0.1", "hall-a", 10.0, 5, 7, False, True, True, 2.5, {"i-1": (900, 2)},
         {"s": (10.0, 2.5, 1.5)}, {"i-1": ("decode", 1.5)}, (("o", "ip"),),
@@ -184,7 +184,7 @@
     assert unpack_report(pack_report(report)) == report
 
 
-def test_a_large_report_leaves_out_what_peers_can_learn_elsewhere():
+def test_a_large_report_omits_the_list_of_known_hosts():
     known = tuple((f"host-{number}", "10.0.0.1") for number in range(100))
     report = PeerReport(
         "h", "10.0.0.1", "hall-a", 10.0, 5, 7, False, False, False, 0.0, {}, {}, {}, known
@@ -202,19 +202,19 @@
         max_size=5,
     )
 )
-def test_whatever_a_caller_sends_in_its_headers_counts_as_given_or_not(headers):
+def test_any_headers_of_a_caller_are_read_or_count_as_missing(headers):
     facts = wire.read_request_metadata(headers)
     assert facts.prompt_tokens >= 0
     assert facts.patience is None or facts.patience >= 0
 
 
 @pytest.mark.parametrize("patience", [b"nan", b"inf", b"-5", b"x"])
-def test_a_deadline_that_is_no_time_is_no_deadline_or_none_left(patience):
+def test_a_deadline_that_is_not_a_duration_counts_as_missing_or_passed(patience):
     facts = wire.read_request_metadata([(b"X-Deadline-Ms", patience)])
     assert facts.patience is None or facts.patience == 0.0
 
 
-def test_nothing_outside_the_adapter_knows_the_platforms_words():
+def test_no_module_outside_the_adapter_uses_names_of_the_platforms_protocol():
     words = {value.decode() for name, value in vars(wire).items() if isinstance(value, bytes)}
     words |= {
         "nodeName", "budgetRatio", "pathPrefix", "targetLatencyMs", "maxAttempts", "kvHandle",
@@ -234,7 +234,7 @@
     assert found == []
 
 
-# The product's own interface to callers and upstreams, which had its names first.
+# Swifttrestle's own interface to callers and upstreams, which has some of the same names.
 OWN_INTERFACE = {
     path.relative_to(SOURCES).as_posix()
     for folder in ("internal/entry", "internal/protocol")
