--- a/src/swifttrestle/controller.py
+++ b/src/swifttrestle/controller.py
@@ -96,7 +96,7 @@
         return ConfigAuthority(process.api, process.cache, lease, process.config, process.metrics)
 
     def _make_lease(self, name: str) -> LeaseManager:
-        """Return the keeper of a lease; the delay by rank spreads leases over processes."""
+        """Return the manager of a lease; the delay by rank spreads leases over processes."""
         settings, process = self._settings, self.process
         rank = zlib.crc32(f"{name}/{settings.name}".encode()) % LEASE_RANKS
         return LeaseManager(
--- a/src/swifttrestle/entry.py
+++ b/src/swifttrestle/entry.py
@@ -14,7 +14,7 @@
 from swifttrestle.internal.entry.crash_guard import EntryCrashGuard
 from swifttrestle.internal.entry.handler import EntryHandler
 from swifttrestle.internal.entry.idempotency import IdempotencyRecords
-from swifttrestle.internal.entry.relay import RelayParts
+from swifttrestle.internal.entry.relay import RelayContext
 from swifttrestle.internal.entry.report_reader import ReportReader
 from swifttrestle.internal.policy.routing import LeastPredicted
 from swifttrestle.internal.process import Process, run_program, wants_help
@@ -26,7 +26,7 @@
 from swifttrestle.internal.transport.pump import Pump
 
 PROGRAM = "swifttrestle-entry"
-HELPERS = 16
+RESUME_THREADS = 16
 
 
 class Entry:
@@ -51,10 +51,10 @@
         )
         self._attempts = attempts
         self.pump = Pump()
-        relay_parts = RelayParts(
+        relay_context = RelayContext(
             self.pump,
             attempts,
-            ThreadPoolExecutor(HELPERS, thread_name_prefix="resume"),
+            ThreadPoolExecutor(RESUME_THREADS, thread_name_prefix="resume"),
             self.process.metrics,
             settings.stall_seconds,
         )
@@ -62,7 +62,7 @@
             config=self.process.config,
             table=self.table,
             queue=self.queue,
-            relay_parts=relay_parts,
+            relay_context=relay_context,
             claims=IdempotencyRecords(self.process.api, settings.name),
             metrics=self.process.metrics,
             threads=settings.threads,
--- a/src/swifttrestle/errors.py
+++ b/src/swifttrestle/errors.py
@@ -82,10 +82,10 @@
 
     code = Code.BAD_ENTRY
 
-    def __init__(self, what: str, field: str, value: object, reason: str) -> None:
+    def __init__(self, subject: str, field: str, value: object, reason: str) -> None:
         """Store the invalid field; the message shows the value up to MAX_SHOWN_CHARS."""
         shown_value = repr(value)[:MAX_SHOWN_CHARS]
-        super().__init__(f"{what} cannot be read: {field} is {shown_value}: {reason}")
+        super().__init__(f"{subject} cannot be read: {field} is {shown_value}: {reason}")
         self.field = field
         self.value = value
         self.reason = reason
@@ -156,7 +156,7 @@
 
 
 class UpstreamLeavingError(UpstreamError):
-    """The upstream refused because it is leaving or unavailable, before running anything."""
+    """The upstream refused because it is draining or unavailable, before running anything."""
 
     code = Code.UPSTREAM_LEAVING
 
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -223,7 +223,7 @@
             self._start(task)
         self._start(watch_settings_file(Path(os.environ.get(PATH_VARIABLE, "")), self.reload))
         await self._listeners.open_for_callers(settings.callers, self._handler)
-        readiness_handler = PageHandler({READY_PATH: self._operator_pages.make_ready})
+        readiness_handler = PageHandler({READY_PATH: self._operator_pages.make_readiness_page})
         await self._listeners.open(settings.readiness, readiness_handler)
         operator_handler = self._operator_pages.make_handler()
         await self._listeners.open((settings.ip, self._metrics_port), operator_handler)
--- a/src/swifttrestle/internal/__init__.py
+++ b/src/swifttrestle/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Machinery behind the public modules; nothing here is a stable interface."""
+"""Implementation of the public modules; not a stable interface."""
--- a/src/swifttrestle/internal/entry/admission_queue.py
+++ b/src/swifttrestle/internal/entry/admission_queue.py
@@ -36,8 +36,8 @@
 class AdmissionRequest:
     """A request that needs capacity at an upstream.
 
-    `find` returns the current candidates, `take` counts the request on one of those with room or
-    returns False, and `limit` is the largest number of requests that may wait before it.
+    `find` returns the current candidates, `take` counts the request on one of those with capacity
+    or returns False, and `limit` is the largest number of requests that may wait before it.
     """
 
     terms: RequestTerms
--- a/src/swifttrestle/internal/entry/attempts.py
+++ b/src/swifttrestle/internal/entry/attempts.py
@@ -116,8 +116,8 @@
             stream = open_stream(address, pinned, self._connect_seconds, timeout)
         except UpstreamError as error:
             self._table.end(name)
-            self.note_failure(name, error)
-            self.guard.note_failure(call.request_id, name, address, error)
+            self.record_failure(name, error)
+            self.guard.record_failure(call.request_id, name, address, error)
             raise
         except BaseException:
             self._table.end(name)
@@ -137,14 +137,14 @@
                 address, call, self._connect_seconds, FIRST_TOKEN_TIMEOUT_SECONDS
             )
         except UpstreamError as error:
-            self.note_failure(engine, error)
-            self.guard.note_failure(call.request_id, engine, address, error)
+            self.record_failure(engine, error)
+            self.guard.record_failure(call.request_id, engine, address, error)
             raise
         finally:
             self._table.end(engine)
         return {"address": address, "handle": handle}
 
-    def note_failure(self, name: str, error: UpstreamError) -> None:
+    def record_failure(self, name: str, error: UpstreamError) -> None:
         """Record a failed call: failures count towards ejection, refusals for load do not."""
         self._metrics.count("upstream_failures_total", reason=error.code.name)
         if isinstance(error, UpstreamLeavingError):
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -65,7 +65,7 @@
             message = "upstreams crashed while they processed this request"
             raise RefusedError(Code.QUARANTINED, message, wait)
 
-    def note_failure(
+    def record_failure(
         self, request_id: str, upstream: str, address: str, error: UpstreamError
     ) -> None:
         """Count a crash against a request whose upstream no longer listens."""
--- a/src/swifttrestle/internal/entry/handler.py
+++ b/src/swifttrestle/internal/entry/handler.py
@@ -13,7 +13,7 @@
 from swifttrestle.internal.entry.attempts import Attempt, Attempts, Target
 from swifttrestle.internal.entry.crash_guard import make_fingerprint
 from swifttrestle.internal.entry.idempotency import IdempotencyRecords
-from swifttrestle.internal.entry.relay import Relay, RelayParts
+from swifttrestle.internal.entry.relay import Relay, RelayContext
 from swifttrestle.internal.entry.requests import (
     Completion,
     RequestTerms,
@@ -53,7 +53,7 @@
         config: ConfigStore,
         table: UpstreamTable,
         queue: BlockingAdmissionQueue,
-        relay_parts: RelayParts,
+        relay_context: RelayContext,
         claims: IdempotencyRecords,
         metrics: Metrics,
         threads: int,
@@ -64,9 +64,9 @@
         self._config = config
         self._table = table
         self._queue = queue
-        self._relay_parts = relay_parts
-        self._attempts: Attempts = relay_parts.attempts
-        self._guard = relay_parts.attempts.guard
+        self._relay_context = relay_context
+        self._attempts: Attempts = relay_context.attempts
+        self._guard = relay_context.attempts.guard
         self._claims = claims
         self._metrics = metrics
         self._threads = threads
@@ -189,7 +189,7 @@
             exchange.detach_socket(), call.request_id, terms.caller_id, completion.stream
         )
         Relay(
-            self._relay_parts, answer, attempt, terms.repeatable,
+            self._relay_context, answer, attempt, terms.repeatable,
             self._make_done(service, terms, call.request_id),
         ).start()  # fmt: skip
         return True
@@ -335,8 +335,8 @@
                     connect_seconds=min(remaining, self._connect_seconds), seconds=remaining,
                 )  # fmt: skip
             except UpstreamError as error:
-                self._attempts.note_failure(upstream, error)
-                self._guard.note_failure(request_id, upstream, address, error)
+                self._attempts.record_failure(upstream, error)
+                self._guard.record_failure(request_id, upstream, address, error)
                 raise
             finally:
                 self._table.end(upstream)
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -31,12 +31,12 @@
 
 
 @dataclass(frozen=True)
-class RelayParts:
+class RelayContext:
     """Components that all relays of one entry share."""
 
     pump: Pump
     attempts: Attempts
-    helpers: ThreadPoolExecutor
+    executor: ThreadPoolExecutor
     metrics: Metrics
     stall_seconds: float
 
@@ -46,14 +46,14 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        context: RelayContext,
         answer: CallerResponse,
         attempt: Attempt,
         repeatable: bool,
         done: Callable[[RefusedError | CallerGoneError | None], None],
     ) -> None:
         """Relay an attempt that has begun to stream."""
-        self._parts = parts
+        self._context = context
         self._answer = answer
         self._attempt = attempt
         self._repeatable = repeatable
@@ -64,9 +64,9 @@
     def start(self) -> None:
         """Hand the attempt's stream to the pump."""
         stream = self._attempt.stream
-        self._parts.pump.add(
+        self._context.pump.add(
             stream.sock, self._answer.sock, self._run(stream.first), self._finish,
-            self._parts.stall_seconds,
+            self._context.stall_seconds,
         )  # fmt: skip
 
     def _make_checker(self) -> TokenChecker:
@@ -101,16 +101,16 @@
         """Handle the end of an attempt; runs in the pump's thread, so it must not block."""
         attempt = self._attempt
         tokens = self._checker.offset - attempt.call.offset
-        self._parts.metrics.count("tokens_relayed_total", tokens)
-        self._parts.attempts.end(attempt, tokens, failed=isinstance(error, UpstreamError))
+        self._context.metrics.count("tokens_relayed_total", tokens)
+        self._context.attempts.end(attempt, tokens, failed=isinstance(error, UpstreamError))
         if error is None:
             self._answer.close()
             self._done(None)
         elif isinstance(error, UpstreamError):
-            self._parts.metrics.count("streams_broken_total", reason=error.code.name)
-            self._parts.helpers.submit(self._resume, error)
+            self._context.metrics.count("streams_broken_total", reason=error.code.name)
+            self._context.executor.submit(self._resume, error)
         else:
-            self._parts.helpers.submit(
+            self._context.executor.submit(
                 cancel_stream, attempt.address, attempt.call.request_id, attempt.call.attempt,
                 CANCEL_TIMEOUT_SECONDS,
             )  # fmt: skip
@@ -119,9 +119,9 @@
 
     def _resume(self, error: UpstreamError) -> None:
         """Continue on another engine, or report to the caller that the response is incomplete."""
-        attempt, guard = self._attempt, self._parts.attempts.guard
+        attempt, guard = self._attempt, self._context.attempts.guard
         self._failed_upstreams.append(attempt.upstream)
-        guard.note_failure(attempt.call.request_id, attempt.upstream, attempt.address, error)
+        guard.record_failure(attempt.call.request_id, attempt.upstream, attempt.address, error)
         if not self._repeatable:
             self._fail(Code.STREAM_BROKEN if self._checker.offset else Code.ANSWER_LOST, error)
             return
@@ -131,7 +131,7 @@
             try:
                 # A request that crashes engines must not be resumed on further ones.
                 guard.check(attempt.call.request_id)
-                self._attempt = self._parts.attempts.resume(
+                self._attempt = self._context.attempts.resume(
                     self._attempt, self._checker.offset, failed
                 )
             except RefusedError:
@@ -142,7 +142,7 @@
                 failed = []
                 time.sleep(RESUME_INTERVAL_SECONDS)
                 continue
-            self._parts.metrics.count("streams_resumed_total")
+            self._context.metrics.count("streams_resumed_total")
             self._checker = self._make_checker()
             self.start()
             return
--- a/src/swifttrestle/internal/event_log.py
+++ b/src/swifttrestle/internal/event_log.py
@@ -27,14 +27,14 @@
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._wake = threading.Event()
-        self._process = ""
+        self._host = ""
         self._started = False
         self.dropped = 0
         self._unreported = 0
 
-    def start(self, process: str) -> None:
-        """Start writing, with `process` as the host of each line."""
-        self._process = process
+    def start(self, host: str) -> None:
+        """Start writing, with `host` in each line."""
+        self._host = host
         self._started = True
         threading.Thread(target=self._run, name="lines", daemon=True).start()
 
@@ -46,7 +46,7 @@
             self.dropped += 1
             self._unreported += 1
             return
-        line = {"time": round(time.time(), 3), "host": self._process, "event": event, **fields}
+        line = {"time": round(time.time(), 3), "host": self._host, "event": event, **fields}
         if self._unreported:
             line["lines_dropped"] = self._unreported
             self._unreported = 0
@@ -63,7 +63,7 @@
             try:
                 data = data[os.write(self._descriptor, data) :]
             except OSError:
-                # The descriptor is closed, so this cannot be logged.
+                # The reader has closed its end, so the loss cannot be logged.
                 self.dropped += len(lines)
                 return
 
--- a/src/swifttrestle/internal/explanation.py
+++ b/src/swifttrestle/internal/explanation.py
@@ -66,7 +66,7 @@
 
 
 def explain_request(lines: Iterable[LogLine], request_id: str) -> list[str]:
-    """Return a request's timeline, one event a line; raise NotFoundError if no line has its id.
+    """Return a request's timeline, one event per line; raise NotFoundError if its id is unknown.
 
     Times are in seconds from the request's arrival, by each host's own clock.
     """
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -50,18 +50,18 @@
     def make_handler(self) -> PageHandler:
         """Return the handler of the operators' address."""
         return PageHandler(
-            {b"/metrics": self._make_metrics, b"/debug/state": self._make_state},
+            {b"/metrics": self._make_metrics_page, b"/debug/state": self._make_state_page},
             {LIFT_PATH: self._lift_quarantine},
         )
 
-    def make_ready(self) -> Page:
+    def make_readiness_page(self) -> Page:
         """Return the readiness page of the load balancer."""
         return Page(200 if self._is_ready() else 503)
 
-    def _make_metrics(self) -> Page:
+    def _make_metrics_page(self) -> Page:
         return Page(200, b"text/plain; version=0.0.4", self._state.metrics.render())
 
-    def _make_state(self) -> Page:
+    def _make_state_page(self) -> Page:
         state = {
             "host": self._host,
             "version": self._configuration.version,
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -89,7 +89,7 @@
 
     def add_dump(self, name: str, read: Callable[[], Any]) -> None:
         """Add a section to the state dump, read with `read`."""
-        self._ops_handler.parts[name] = read
+        self._ops_handler.sections[name] = read
 
     def start(self) -> None:
         """Register, start watching the platform and connecting to peers, and serve operators."""
@@ -144,7 +144,7 @@
     def __init__(self, process: Process) -> None:
         """Serve the state of one process."""
         self._process = process
-        self.parts: dict[str, Callable[[], Any]] = {}
+        self.sections: dict[str, Callable[[], Any]] = {}
 
     def handle(self, exchange: Exchange) -> None:
         """Respond to one request of an operator."""
@@ -154,8 +154,8 @@
             case "/metrics":
                 exchange.reply(200, self._process.metrics.render(), "text/plain; version=0.0.4")
             case "/debug/state":
-                parts = {name: read() for name, read in self.parts.items()}
-                exchange.reply_json(200, {**self._process.dump(), **parts})
+                sections = {name: read() for name, read in self.sections.items()}
+                exchange.reply_json(200, {**self._process.dump(), **sections})
             case _:
                 exchange.reply_json(404, {"error": "use /metrics, /debug/state or /healthz"})
 
--- a/src/swifttrestle/platform/__init__.py
+++ b/src/swifttrestle/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its names, formats and calls. It decides nothing."""
+"""The adapter to the platform: its names, formats and calls, without any decisions."""
--- a/src/swifttrestle/platform/objects.py
+++ b/src/swifttrestle/platform/objects.py
@@ -102,24 +102,24 @@
 
 def read_object(kind: str, raw: Any, epoch: int = 0) -> StoredObject:
     """Return one object of a response of the store's `epoch`; raise BadEntryError."""
-    what = f"object of kind {kind}"
+    subject = f"object of kind {kind}"
     if not isinstance(raw, dict) or not isinstance(raw.get("metadata"), dict):
-        raise BadEntryError(what, "metadata", raw, "it is missing or not a JSON object")
+        raise BadEntryError(subject, "metadata", raw, "it is missing or not a JSON object")
     metadata = raw["metadata"]
     try:
         name = check_text(metadata.get("name"))
     except ValueError as error:
-        raise BadEntryError(what, "metadata.name", metadata.get("name"), str(error)) from None
+        raise BadEntryError(subject, "metadata.name", metadata.get("name"), str(error)) from None
     revision = metadata.get("revision")
     try:
         number = check_integer(revision, 0, MAX_INT64)
     except ValueError as error:
-        raise BadEntryError(what, "metadata.revision", revision, str(error)) from None
+        raise BadEntryError(subject, "metadata.revision", revision, str(error)) from None
     try:
         # Values that are not valid JSON are lone surrogates here, which cannot be encoded.
         orjson.dumps(raw)
     except TypeError as error:
-        raise BadEntryError(what, "spec", raw.get("spec"), str(error)) from None
+        raise BadEntryError(subject, "spec", raw.get("spec"), str(error)) from None
     return StoredObject(kind, name, StoreRevision(epoch, number), raw.get("spec"))
 
 
--- a/src/swifttrestle/platform/records.py
+++ b/src/swifttrestle/platform/records.py
@@ -52,10 +52,10 @@
     record. Its field `seq` counts heartbeats, unlike the `seq` of an engine's report.
     """
     fields = _Fields(f"record of {instance}", spec)
-    fields.check("seq", lambda value: check_integer(value, 0, MAX_INT64))
-    fields.check("version", check_text)
-    fields.check("coldRemainingMs", lambda value: check_number(value, 0, MAX_INT64))
-    fields.check("models", _check_list)
+    fields.read_optional("seq", lambda value: check_integer(value, 0, MAX_INT64))
+    fields.read_optional("version", check_text)
+    fields.read_optional("coldRemainingMs", lambda value: check_number(value, 0, MAX_INT64))
+    fields.read_optional("models", _check_list)
     return UpstreamRecord(
         instance=instance,
         service=fields.read("service", check_text),
@@ -63,11 +63,13 @@
         zone=fields.read("zone", check_text),
         slots=fields.read("slots", lambda value: check_integer(value, 1, MAX_SLOTS)),
         leaving=fields.read("state", lambda value: check_choice(value, _STATES)) == _DRAINING,
-        role=Role(fields.check("phase", lambda value: check_choice(value, _PHASES)) or "none"),
-        born=fields.check("born", lambda value: check_integer(value, 1, MAX_INT64)) or 0,
-        reclaimable=fields.check("spot", check_bool) or False,
+        role=Role(
+            fields.read_optional("phase", lambda value: check_choice(value, _PHASES)) or "none"
+        ),
+        born=fields.read_optional("born", lambda value: check_integer(value, 1, MAX_INT64)) or 0,
+        reclaimable=fields.read_optional("spot", check_bool) or False,
         leaves_in=_to_seconds(
-            fields.check("leaves_ms", lambda value: check_number(value, 0, MAX_INT64))
+            fields.read_optional("leaves_ms", lambda value: check_number(value, 0, MAX_INT64))
         ),
     )
 
@@ -79,20 +81,20 @@
 class _Fields:
     """The fields of one entry, each checked when it is read."""
 
-    def __init__(self, what: str, spec: Any) -> None:
+    def __init__(self, subject: str, spec: Any) -> None:
         """Read from `spec`; raise BadEntryError if it is not a JSON object."""
         if not isinstance(spec, dict):
-            raise BadEntryError(what, "spec", spec, "it is not a JSON object")
-        self._what = what
+            raise BadEntryError(subject, "spec", spec, "it is not a JSON object")
+        self._subject = subject
         self._spec = spec
 
     def read(self, name: str, check: Callable[[Any], T]) -> T:
         """Return a required field; raise BadEntryError."""
         if self._spec.get(name) is None:
-            raise BadEntryError(self._what, name, None, "it is missing")
+            raise BadEntryError(self._subject, name, None, "it is missing")
         return self._check(name, check)
 
-    def check(self, name: str, check: Callable[[Any], T]) -> T | None:
+    def read_optional(self, name: str, check: Callable[[Any], T]) -> T | None:
         """Return an optional field, None if it is missing; raise BadEntryError."""
         return self._check(name, check) if self._spec.get(name) is not None else None
 
@@ -101,7 +103,7 @@
         try:
             return check(value)
         except ValueError as error:
-            raise BadEntryError(self._what, name, value, str(error)) from None
+            raise BadEntryError(self._subject, name, value, str(error)) from None
 
 
 def _check_list(value: Any) -> list[Any]:
@@ -155,7 +157,9 @@
     if not isinstance(keys, list) or not all(_is_key(key) for key in keys):
         reason = f"it is not a list of texts of 1 to {MAX_KEY_CHARS} characters"
         raise BadEntryError(f"workspace {name}", "apiKeys", _HIDDEN, reason)
-    priority = fields.check("priority", lambda value: check_integer(value, 0, LOWEST_PRIORITY))
+    priority = fields.read_optional(
+        "priority", lambda value: check_integer(value, 0, LOWEST_PRIORITY)
+    )
     return Workspace(name, frozenset(digest_key(key.encode()) for key in keys), priority)
 
 
@@ -167,16 +171,17 @@
     fields = _Fields("scaling", raw)
     prices = raw.get("zonePrices") or {}
     return Scaling(
-        least=fields.check("min", lambda value: check_integer(value, 0, MAX_INT64)) or 0,
+        least=fields.read_optional("min", lambda value: check_integer(value, 0, MAX_INT64)) or 0,
         most=fields.read("max", lambda value: check_integer(value, 0, MAX_INT64)),
-        boot_seconds=fields.check("bootS", lambda value: check_number(value, 0, 1e6)) or 0.0,
+        boot_seconds=fields.read_optional("bootS", lambda value: check_number(value, 0, 1e6))
+        or 0.0,
         prices={str(zone): float(price) for zone, price in prices.items()},
         reclaimable_price=_read_reclaimable_price(fields),
     )
 
 
 def _read_reclaimable_price(fields: "_Fields") -> float:
-    price = fields.check("spotPrice", lambda value: check_number(value, 0, 1e6))
+    price = fields.read_optional("spotPrice", lambda value: check_number(value, 0, 1e6))
     return 1.0 if price is None else price
 
 
--- a/src/swifttrestle/platform/wire.py
+++ b/src/swifttrestle/platform/wire.py
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True)
 class ForwardingHeaders:
-    """Headers that the gateway adds to a forwarded request; `left` is the deadline in seconds.
+    """Headers that the gateway adds to a forwarded request; `remaining` is the deadline in seconds.
 
     `fetch_from` is the address of another engine, from which the upstream first copies the cached
     prompt parts that it lacks.
     """
 
     instance: str
-    left: float
+    remaining: float
     priority: int | None = None
     prefill_only: bool = False
     kv_source: str = ""
@@ -137,7 +137,7 @@
     if added.last_event is not None:
         headers = [item for item in headers if item[0].lower() != EVENT_ID]
         headers.append((b"Last-Event-Id", added.last_event))
-    headers.append((b"X-Deadline-Ms", str(max(1, int(added.left * 1000))).encode()))
+    headers.append((b"X-Deadline-Ms", str(max(1, int(added.remaining * 1000))).encode()))
     headers.append((b"X-Expect-Instance", added.instance.encode()))
     if added.priority is not None:
         headers.append((b"X-Request-Priority", str(added.priority).encode()))
--- a/tests/cover/test_entry_guard.py
+++ b/tests/cover/test_entry_guard.py
@@ -38,7 +38,7 @@
 
 def crash(guard, address, error=BROKEN, count=CRASHES_TO_QUARANTINE, request_id="r1"):
     for number in range(count):
-        guard.note_failure(request_id, f"e{number}", address, error)
+        guard.record_failure(request_id, f"e{number}", address, error)
 
 
 def test_a_request_that_crashed_upstreams_is_refused_under_another_id(guard, closed):
