--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -1,6 +1,6 @@
-"""Which host is to plan roles: one candidate, so that hosts don't write against each other.
+"""Selects the host that contends for the duty lease, so that hosts do not write against each other.
 
-The lease itself decides; this only says who is to ask for it.
+Only the lease decides which host performs the duties.
 """
 
 from collections.abc import Callable
@@ -11,47 +11,47 @@
 
 
 class RoleCandidates:
-    """The hosts that may plan roles, in order.
+    """The hosts that may hold the duty lease, in order of preference.
 
-    Those that cannot reach the store are left out: they could neither hold the lease nor take
-    it. In a large fleet representatives alone are candidates, besides a host that has the
-    lease already: they are the ones who hear of all hosts.
+    Hosts that cannot reach the store are left out, since they can neither hold nor take the lease.
+    In a large fleet, only the zone aggregators (representatives) and the current holder are
+    candidates: only aggregators receive reports from all hosts.
     """
 
     def __init__(self, me: Member, peers: PeerTable, now: Callable[[], float]) -> None:
-        """Judge by the peers that are known."""
+        """Choose among the peers in `peers` and this host, `me`."""
         self._me = me
         self._peers = peers
         self._now = now
         self.leaving = False
         self.holds_duty_lease = False
-        self._lacks_store_until = NEVER
+        self._store_unreachable_until = NEVER
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether this host could not reach the store of late."""
-        return self._now() < self._lacks_store_until
+        """Whether a recent call of this host to the store failed."""
+        return self._now() < self._store_unreachable_until
 
     def mark_store_unreachable(self, seconds: float) -> None:
-        """Be no candidate for so many seconds."""
-        self._lacks_store_until = self._now() + seconds
+        """Withdraw this host as a candidate for `seconds`."""
+        self._store_unreachable_until = self._now() + seconds
 
-    def note_store_back(self) -> None:
-        """Be a candidate again: the store has answered this host since."""
-        self._lacks_store_until = NEVER
+    def mark_store_reachable(self) -> None:
+        """Make this host a candidate again, since the store has answered it."""
+        self._store_unreachable_until = NEVER
 
     def is_candidate(self) -> bool:
-        """Return whether this host is to plan roles: the holder while it lives, or the first."""
+        """Return whether this host contends for the lease, as its holder or the first in order."""
         return not self.leaving and (
-            self.holds_duty_lease or self.list_order()[:1] == [self._me.host]
+            self.holds_duty_lease or self.list_candidates()[:1] == [self._me.host]
         )
 
     def is_next_candidate(self) -> bool:
-        """Return whether this host takes the planning over where the candidate is gone."""
-        return not self.leaving and self._me.host in self.list_order()[:2]
+        """Return whether this host is one of the first two candidates."""
+        return not self.leaving and self._me.host in self.list_candidates()[:2]
 
     def find_holder(self, zone: str) -> str:
-        """Return the host of a zone that holds the lease, by its own word, or ""."""
+        """Return the host of a zone that reports that it holds the lease, or ""."""
         if self.holds_duty_lease:
             return self._me.host
         now = self._now()
@@ -64,19 +64,19 @@
             "",
         )
 
-    def list_order(self) -> list[str]:
-        """Return the hosts in the order in which they are to hold the duties."""
+    def list_candidates(self) -> list[str]:
+        """Return the candidates in order of preference, the holder first."""
         now = self._now()
         members = self._peers.list_members(now)
-        able = {member.host for member in members}
+        eligible = {member.host for member in members}
         if is_large_fleet(len(members)):
             zones = {member.zone for member in members}
-            able = {item.host for zone in zones for item in list_representatives(members, zone)}
+            eligible = {item.host for zone in zones for item in list_representatives(members, zone)}
         order = []
         for member in members:
-            holds, lacks = self._read_flags(member.host, now)
-            if not lacks and (holds or member.host in able):
-                order.append((not holds, member.host))
+            holds_lease, unreachable = self._read_flags(member.host, now)
+            if not unreachable and (holds_lease or member.host in eligible):
+                order.append((not holds_lease, member.host))
         return [host for _, host in sorted(order)]
 
     def _read_flags(self, host: str, now: float) -> tuple[bool, bool]:
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -1,4 +1,4 @@
-"""The duties that one host at a time has for the whole fleet, put together on their one lease."""
+"""The duties: tasks that one host at a time performs for the whole fleet, under one lease."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -21,13 +21,12 @@
 from swifttrestle.platform.settings import HostSettings
 from swifttrestle.platform.store import ObjectStore
 
-# Hosts that gather what all hosts count for workspaces: the holder of the duty, and two that would
-# follow it.
-COLLECTORS = 3
+# Hosts that collect all hosts' usage counts: the holder of the duty lease and two standbys.
+COLLECTOR_COUNT = 3
 
 
 class Duties:
-    """This host's part in the planning of roles, the ordering of upstreams, and usage reports."""
+    """This host's duties: planning of roles, ordering of upstreams, and usage reports."""
 
     def __init__(
         self,
@@ -35,51 +34,51 @@
         incarnation: int,
         store: ObjectStore,
         socket: PeerSocket,
-        parts: GatewayState,
+        state: GatewayState,
         gossip: Gossip,
         discovery: Discovery,
         freshness_monitor: FreshnessMonitor,
-        true_time: MedianClock,
+        clock: MedianClock,
         find_configuration: Callable[[], Configuration | None],
         skipped: SkippedEntries,
     ) -> None:
-        """Share the host's parts; `run` of each duty starts it."""
+        """Create the duties; `list_tasks` returns the coroutines that run them."""
         self._host = settings.host
         self._gossip = gossip
-        bounds, wanted = settings.bounds, settings.duties
-        calls = DutyApiClient(wanted.address, ConnectionPool()) if wanted else None
-        # Another machine of the same name is another holder.
+        bounds, enabled = settings.bounds, settings.duties
+        api_client = DutyApiClient(enabled.address, ConnectionPool()) if enabled else None
+        # The IP tells machines of the same name apart.
         holder = f"{settings.host}@{settings.ip}"
         self.lease = DutyLeaseManager(store, "roles", holder, incarnation, bounds.lease, skipped)
         self.usage = UsageDuty(
             f"{settings.host} {incarnation}",
             socket,
             self.lease,
-            calls if wanted and wanted.usage else None,
+            api_client if enabled and enabled.usage else None,
             self._list_collectors,
-            self._holds,
+            self._holds_lease,
             freshness_monitor.requires_keys,
-            true_time,
+            clock,
             bounds.usage_window_seconds,
-            parts.metrics,
+            state.metrics,
         )
         self.capacity = CapacityDuty(
             self.lease,
-            calls if wanted and wanted.scaling else None,
-            parts.fleet,
-            parts.demand,
+            api_client if enabled and enabled.scaling else None,
+            state.fleet,
+            state.demand,
             find_configuration,
-            self._holds,
+            self._holds_lease,
             lambda: discovery.store_unreachable,
-            parts.metrics,
+            state.metrics,
         )
 
         self.roles = RoleDuty(
             self.lease,
-            parts.fleet,
-            parts.demand,
-            parts.ejector,
-            parts.pool,
+            state.fleet,
+            state.demand,
+            state.ejector,
+            state.pool,
             gossip,
             find_configuration,
             lambda: discovery.store_unreachable,
@@ -88,23 +87,23 @@
         )
 
     def list_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what is to run for as long as the process lives."""
+        """Return the coroutines that are to run for the life of the process."""
         return [self.roles.run(), self.usage.run(), self.capacity.run()]
 
     def describe(self) -> dict[str, Any]:
-        """Return what operators ask of the duties: who holds them, capacity, and usage."""
+        """Return the candidates and the state of scaling and usage, for the state dump."""
         return {
-            "held_here": self._holds(),
-            "candidates": self._gossip.candidates.list_order()[:COLLECTORS],
+            "held_here": self._holds_lease(),
+            "candidates": self._gossip.candidates.list_candidates()[:COLLECTOR_COUNT],
             "capacity": self.capacity.describe(),
             "usage": self.usage.describe(),
         }
 
-    def _holds(self) -> bool:
+    def _holds_lease(self) -> bool:
         return self._gossip.candidates.holds_duty_lease
 
     def _list_collectors(self) -> list[Member]:
-        """Return the other hosts that gather what is counted, the holder first."""
-        order = self._gossip.candidates.list_order()[:COLLECTORS]
+        """Return the other hosts that collect usage counts, the holder first."""
+        hosts = self._gossip.candidates.list_candidates()[:COLLECTOR_COUNT]
         members = {member.host: member for member in self._gossip.list_members()}
-        return [members[host] for host in order if host in members and host != self._host]
+        return [members[host] for host in hosts if host in members and host != self._host]
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -1,4 +1,4 @@
-"""The duty of planning engines' roles: one gateway at a time, by leased and recorded orders."""
+"""Planning of engines' roles by the holder of the duty lease, which records each order first."""
 
 import asyncio
 import contextlib
@@ -33,32 +33,29 @@
     write_order,
 )
 
-# Seconds between two looks at the roles.
 TICK_SECONDS = 0.5
-# Share of a service's engines that may be ordered in one look, at least one: a large fleet
-# follows a swing as fast as a small one does.
-TICK_SHARE = 0.1
-# Seconds for which a host whose calls on the lease failed leaves the planning to others.
-STORE_LOST_SECONDS = 3.0
-# Seconds between two looks at the lease by the host that is next in line.
-STAND_BY_SECONDS = 5.0
-# Seconds for one call to an engine.
+# Share of a service's engines that may be ordered to change in one tick, at least one engine.
+MAX_CHANGE_SHARE = 0.1
+# Time for which a host whose calls for the lease failed is no candidate for it.
+STORE_FAILURE_BACKOFF_SECONDS = 3.0
+# Time between two reads of the lease by the standby.
+STANDBY_READ_SECONDS = 5.0
+# Timeout of one call to an engine.
 CALL_SECONDS = 1.0
-# Seconds after which an order without an answer cannot be carried out any more; engines may
-# do so until twelve seconds after it.
+# Time after which an unanswered order cannot take effect any more. Engines may apply an order up to
+# 12 s after it was sent.
 UNANSWERED_SECONDS = 14.0
-# Seconds beyond the declared time of a role change before the engine may be ordered again.
-SETTLE_SECONDS = 3.0
-# Seconds before an engine that refused an order is looked at again.
+# Time beyond the declared duration of a role change before the engine may get another order.
+CHANGE_GRACE_SECONDS = 3.0
+# Time before an engine that refused an order may get another one.
 REFUSED_SECONDS = 1.0
-# Seconds for which an engine that could not be asked counts as broken.
-UNREACHED_SECONDS = 5.0
-# Bytes that an engine's answer to a call of the system may have.
-SMALL_ANSWER_BYTES = 64 * 1024
+# Time for which an engine that did not answer counts as broken.
+UNREACHABLE_SECONDS = 5.0
+MAX_ANSWER_BYTES = 64 * 1024
 
 
 class RoleDuty:
-    """Plans and orders while this host is the first of those that live."""
+    """Plans roles and orders role changes while this host holds the duty lease."""
 
     def __init__(
         self,
@@ -69,17 +66,17 @@
         pool: ConnectionPool,
         gossip: Gossip,
         find_configuration: Callable[[], Configuration | None],
-        is_store_away: Callable[[], bool],
-        count_store_returns: Callable[[], int],
+        is_store_unreachable: Callable[[], bool],
+        count_store_recoveries: Callable[[], int],
         is_settling: Callable[[str], bool] = lambda _: False,
     ) -> None:
-        """Prepare; the gossip tells which host is to plan.
+        """Set up; `gossip` knows the candidates for the lease.
 
-        While a service `is_settling`, most of its engines are still to come or to go.
+        `is_settling` returns whether a service's engines are still starting or not yet all listed.
         """
         self._is_settling = is_settling
-        self._is_store_away = is_store_away
-        self._count_store_returns = count_store_returns
+        self._is_store_unreachable = is_store_unreachable
+        self._count_store_recoveries = count_store_recoveries
         self._lease = lease
         self._fleet = fleet
         self._demand = demand
@@ -88,81 +85,82 @@
         self._gossip = gossip
         self._candidates = gossip.candidates
         self._find_configuration = find_configuration
-        self._unsettled: dict[str, tuple[float, Role]] = {}
-        # Until when an order that was not answered may still be carried out, by the id of its
-        # engine: a start that follows under the same id may be met by it.
+        # The ordered role of each engine and the time until which the order may be in progress.
+        self._pending: dict[str, tuple[float, Role]] = {}
+        # The time until which an unanswered order may still take effect, by the engine's id. A
+        # later incarnation under the same id may receive it.
         self._unanswered: dict[str, float] = {}
-        self._unreached: dict[str, float] = {}
-        self._look_at = 0.0
-        self._seen_returns = 0
+        self._unreachable_until: dict[str, float] = {}
+        self._next_standby_read = 0.0
+        self._seen_recoveries = 0
         self._delay = RoleChangeDelay()
 
     async def run(self) -> None:
-        """Look at the roles for as long as the process lives."""
+        """Plan roles periodically for the life of the process."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             try:
                 await self._tick()
             except (PlatformUnavailableError, LeaseLostError) as error:
-                # Should the lease still be this host's, the next write on it will show that.
+                # If this host still holds the lease, its next write succeeds.
                 self._candidates.holds_duty_lease = False
-                self._gossip.mark_store_unreachable(STORE_LOST_SECONDS)
+                self._gossip.mark_store_unreachable(STORE_FAILURE_BACKOFF_SECONDS)
                 log_event("role planning waits", reason=str(error))
                 await asyncio.sleep(TICK_SECONDS)
 
     async def _tick(self) -> None:
-        self._note_store()
+        self._check_store_recoveries()
         configuration = self._find_configuration()
         if configuration is None:
             return
-        if self._candidates.holds_duty_lease and self._is_store_away():
-            # Orders could not be written down, and the list here is an old one.
-            raise PlatformUnavailableError("the store is away")
-        reclaims = self._lease.reclaims() and not self._candidates.leaving
-        if not reclaims and not self._candidates.is_candidate():
+        if self._candidates.holds_duty_lease and self._is_store_unreachable():
+            # Orders cannot be recorded, and this host's list of engines is outdated.
+            raise PlatformUnavailableError("the store is unreachable; no roles are planned")
+        may_reclaim = self._lease.may_reclaim() and not self._candidates.leaving
+        if not may_reclaim and not self._candidates.is_candidate():
             await self._stand_by()
             return
-        # The lease is held before it is needed: a takeover waits for seconds, in which the
-        # last decoding engine may leave and the store may go away.
-        before = self._candidates.holds_duty_lease
+        # The lease is held even when no order is needed: a takeover takes seconds, in which the
+        # last decoding engine may leave or the store may become unreachable.
+        held_before = self._candidates.holds_duty_lease
         self._candidates.holds_duty_lease = await self._lease.campaign()
         if not self._candidates.holds_duty_lease:
             return
-        if not before:
+        if not held_before:
             self._take_over_orders()
         for service in configuration.services.values():
             if service.engine is not None:
                 await self._plan_service(service.name, service.engine)
 
-    def _note_store(self) -> None:
-        """Plan again as soon as the store is back, and not when the pause is over."""
-        returns = self._count_store_returns()
-        if returns != self._seen_returns:
-            self._candidates.note_store_back()
-        self._seen_returns = returns
+    def _check_store_recoveries(self) -> None:
+        """End this host's backoff as soon as the store is available again."""
+        recoveries = self._count_store_recoveries()
+        if recoveries != self._seen_recoveries:
+            self._candidates.mark_store_reachable()
+        self._seen_recoveries = recoveries
 
     async def _stand_by(self) -> None:
-        """Look at the lease from time to time, so that a takeover need not wait it out."""
+        """Read the lease now and then, so that its age is known when a takeover is due."""
         now = asyncio.get_running_loop().time()
-        if now < self._look_at or not self._candidates.is_next_candidate():
+        if now < self._next_standby_read or not self._candidates.is_next_candidate():
             return
-        self._look_at = now + STAND_BY_SECONDS
+        self._next_standby_read = now + STANDBY_READ_SECONDS
         with contextlib.suppress(NotFoundError):
             await self._lease.observe()
 
     async def _plan_service(self, service: str, traits: EngineTraits) -> None:
-        """Order what the plan wants: more at once where there are many engines.
+        """Order the planned role changes, as many in one tick as the number of engines allows.
 
-        Before any load is known, a service that settles is left alone: orders would go to engines
-        that leave, and for others than those which come.
+        Without known load, no changes are ordered while the service is settling: its engines are
+        about to be replaced.
         """
         now = asyncio.get_running_loop().time()
         if self._is_settling(service) and self._demand.total(service, now) == Demand():
             return
         engines = len(self._fleet.list_service(service))
-        # Without load no request misses the engines that are away.
-        idle = self._demand.total(service, now) == Demand()
-        for _ in range(engines if idle else max(1, int(engines * TICK_SHARE))):
+        # Without load, all engines may change at once.
+        is_idle = self._demand.total(service, now) == Demand()
+        for _ in range(engines if is_idle else max(1, int(engines * MAX_CHANGE_SHARE))):
             change = self._plan(service)
             now = asyncio.get_running_loop().time()
             allowed = self._delay.allows(service, change, traits.role_change_seconds, now)
@@ -171,9 +169,9 @@
             await self._order(change, traits)
 
     def _take_over_orders(self) -> None:
-        """Count the last order of each engine as open where its role does not show it.
+        """Treat each recorded order as pending unless its engine already has the role.
 
-        A former holder wrote it down and may have sent it; it may still be carried out.
+        The former holder may have sent it, and it may still take effect.
         """
         assert self._lease.lease is not None
         until = asyncio.get_running_loop().time() + UNANSWERED_SECONDS
@@ -181,58 +179,61 @@
             engine = self._fleet.instances.get(order.engine)
             if engine is None:
                 continue
-            self._unsettled.pop(order.engine, None)
+            self._pending.pop(order.engine, None)
             if engine.role.value != order.role:
-                self._unsettled[order.engine] = (until, Role(order.role))
+                self._pending[order.engine] = (until, Role(order.role))
 
     def _plan(self, service: str) -> RoleChange | None:
         now = asyncio.get_running_loop().time()
-        self._unsettled = {
-            name: (until, role) for name, (until, role) in self._unsettled.items() if until > now
+        self._pending = {
+            name: (until, role) for name, (until, role) in self._pending.items() if until > now
         }
         self._unanswered = {name: until for name, until in self._unanswered.items() if until > now}
-        pending = {name: role for name, (_, role) in self._unsettled.items()}
+        pending = {name: role for name, (_, role) in self._pending.items()}
         engines = self._fleet.list_service(service)
         for item in engines:
-            # An order that its former start left unanswered may still come to this one, and is
-            # refused there only where the counts of orders differ.
+            # An unanswered order to an earlier incarnation may still reach this one, which refuses
+            # it only if the two have accepted different numbers of orders.
             if self._unanswered.get(item.record.instance, 0.0) > now:
                 pending.setdefault(item.name, item.role)
         broken = [
             item.name
             for item in engines
-            if self._ejector.is_ejected(item.name, now) or self._unreached.get(item.name, 0.0) > now
+            if self._ejector.is_ejected(item.name, now)
+            or self._unreachable_until.get(item.name, 0.0) > now
         ]
         return plan_change(engines, pending, self._demand.total(service, now), broken)
 
     async def _order(self, change: RoleChange, traits: EngineTraits) -> None:
         engine = change.engine
-        report = await self._ask(engine)
+        report = await self._read_report(engine)
         if report is None:
-            self._unreached[engine.name] = asyncio.get_running_loop().time() + UNREACHED_SECONDS
+            self._unreachable_until[engine.name] = (
+                asyncio.get_running_loop().time() + UNREACHABLE_SECONDS
+            )
             return
         if report.changing or report.role is change.role:
             return
         order, until = await self._lease.record(engine.name, change.role.value)
         now = asyncio.get_running_loop().time()
-        held = self._lease.lease
-        assert held is not None
+        lease = self._lease.lease
+        assert lease is not None
         if now > until or engine.gone:
-            reason = "its engine is gone" if engine.gone else "its time was over"
+            reason = "engine is gone" if engine.gone else "lease last written too long ago"
             log_event("order not sent", number=order.number, reason=reason)
             return
-        sent = RoleOrder(change.role, held.holder, held.token, report.orders_taken)
+        sent = RoleOrder(change.role, lease.holder, lease.token, report.orders_taken)
         status = await self._send(engine, sent)
-        settle = traits.role_change_seconds + SETTLE_SECONDS
+        pending_seconds = traits.role_change_seconds + CHANGE_GRACE_SECONDS
         if status is None:
-            settle = UNANSWERED_SECONDS
-            self._unanswered[engine.record.instance] = now + settle
+            pending_seconds = UNANSWERED_SECONDS
+            self._unanswered[engine.record.instance] = now + pending_seconds
         if status in (200, 202):
             ready_at = now + traits.role_change_seconds
             self._gossip.note_order(engine.name, change.role, ready_at)
         elif status is not None:
-            settle = REFUSED_SECONDS
-        self._unsettled[engine.name] = (now + settle, change.role)
+            pending_seconds = REFUSED_SECONDS
+        self._pending[engine.name] = (now + pending_seconds, change.role)
         log_event(
             "role ordered",
             number=order.number,
@@ -244,7 +245,7 @@
             reason=change.reason,
         )
 
-    async def _ask(self, engine: Instance) -> EngineReport | None:
+    async def _read_report(self, engine: Instance) -> EngineReport | None:
         headers = build_engine_headers(engine.record.instance)
         request = OutgoingRequest(b"GET", REPORT_PATH, headers, Framing.NONE, 0, None)
         answer = await self._call(engine, request)
@@ -253,10 +254,10 @@
         try:
             report = read_report(answer[1])
         except UpstreamBrokenError as error:
-            log_event("report skipped", engine=engine.name, reason=str(error))
+            log_event("malformed report skipped", engine=engine.name, reason=str(error))
             return None
         if is_other_incarnation(report.born, engine.record.born):
-            # Its count of orders is not that of the start which the order would be meant for.
+            # The report's count of accepted orders is not that of the listed incarnation.
             log_event("report of another start", engine=engine.name, born=report.born)
             return None
         return report
@@ -276,7 +277,7 @@
         try:
             async with asyncio.timeout(CALL_SECONDS):
                 head, content = await call_once(
-                    self._pool, engine.name, engine.record.address, request, SMALL_ANSWER_BYTES
+                    self._pool, engine.name, engine.record.address, request, MAX_ANSWER_BYTES
                 )
                 return head.status, content
         except (UpstreamBrokenError, TimeoutError) as error:
