--- a/src/swifttrestle/internal/coordination/store_retry.py
+++ b/src/swifttrestle/internal/coordination/store_retry.py
@@ -1,4 +1,4 @@
-"""Work on the store that is tried again until it is done, at different moments on each host."""
+"""Retries of store operations, with jitter."""
 
 import asyncio
 import random
@@ -7,18 +7,18 @@
 from swifttrestle.errors import ConflictError, PlatformUnavailableError
 from swifttrestle.internal.event_log import log_event
 
-# Least seconds between two tries, and the most that chance adds to them: a store that comes back
-# must not meet all hosts at once.
+# Shortest time between two attempts, and the largest jitter added to it. Jitter keeps hosts from
+# calling all at once when the store becomes available again.
 RETRY_SECONDS = 1.0
 
 
 async def retry_until_done(
-    act: Callable[[], Awaitable[None]], event: str, rng: random.Random
+    operation: Callable[[], Awaitable[None]], event: str, rng: random.Random
 ) -> None:
-    """Do `act`, and again with a line of `event` where the store, or another write, kept it off."""
+    """Await `operation` until it succeeds; log `event` for each failed call or write conflict."""
     while True:
         try:
-            await act()
+            await operation()
             return
         except (PlatformUnavailableError, ConflictError) as error:
             log_event(event, reason=str(error))
--- a/src/swifttrestle/internal/coordination/zone_demand.py
+++ b/src/swifttrestle/internal/coordination/zone_demand.py
@@ -1,74 +1,75 @@
-"""What callers offer to whole zones, in place of what each of their hosts tells."""
+"""Demand of whole zones, in place of reports by each of their hosts."""
 
 from swifttrestle.internal.state.demand import Demand, DemandMeter
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.peers import PEER_TIMEOUT_SECONDS, PeerTable
 
-Offered = dict[str, tuple[float, float, float]]
+# Read tokens a second, decode slots and read slots, by service, as encoded in messages.
+EncodedDemand = dict[str, tuple[float, float, float]]
 
 
 class ZoneDemand:
-    """Keeps a meter to what is fresh, host by host or zone by zone."""
+    """Updates a meter with the latest demand of each host or zone."""
 
     def __init__(self, me: Member, peers: PeerTable, meter: DemandMeter) -> None:
-        """Write into a meter."""
+        """Update `meter`."""
         self._me = me
         self._peers = peers
         self._meter = meter
-        self._told_at: dict[str, float] = {}
+        self._updated_at: dict[str, float] = {}
 
-    def list_own(self, now: float) -> Offered:
-        """Return what this host is offered, as datagrams hold it."""
-        return _write_offered(self._meter.own(now))
+    def list_own(self, now: float) -> EncodedDemand:
+        """Return this host's demand, encoded for a message."""
+        return _encode(self._meter.own(now))
 
-    def sum_own_zone(self, now: float) -> Offered:
-        """Return what all of this host's zone is offered, by the hosts that it hears."""
+    def sum_own_zone(self, now: float) -> EncodedDemand:
+        """Return the demand of this host's zone, summed over the hosts that report to it."""
         zone = self._me.zone
-        heard = [item.host for item in self._peers.list_heard(now) if item.zone == zone]
-        return _write_offered(self._meter.sum_of(heard, now))
+        hosts = [item.host for item in self._peers.list_heard(now) if item.zone == zone]
+        return _encode(self._meter.sum_of(hosts, now))
 
-    def update_host(self, host: str, offered: Offered) -> None:
-        """Take over what one host is offered."""
-        self._meter.note_peer(host, _read_offered(offered))
+    def update_host(self, host: str, demand: EncodedDemand) -> None:
+        """Store the demand of one host."""
+        self._meter.note_peer(host, _decode(demand))
 
-    def update_zone(self, zone: str, offered: Offered, now: float) -> None:
-        """Take over what a zone is offered, in place of what its hosts told one by one."""
+    def update_zone(self, zone: str, demand: EncodedDemand, now: float) -> None:
+        """Store the demand of a zone, in place of that of its single hosts."""
         for peer in self._peers.peers.values():
             if peer.zone == zone:
                 self._meter.forget_peer(peer.host)
-        sums = _read_offered(offered)
+        sums = _decode(demand)
         if zone == self._me.zone:
             own = self._meter.own(now)
             sums = {name: item.minus(own.get(name, Demand())) for name, item in sums.items()}
-        self._meter.note_peer(_name_zone(zone), sums)
-        self._told_at[zone] = now
+        self._meter.note_peer(_make_zone_key(zone), sums)
+        self._updated_at[zone] = now
 
     def drop_zone(self, zone: str) -> None:
-        """Drop a zone's sum: this host hears its hosts one by one."""
-        if self._told_at.pop(zone, None) is not None:
-            self._meter.forget_peer(_name_zone(zone))
+        """Drop a zone's sum, since its hosts report to this host directly."""
+        if self._updated_at.pop(zone, None) is not None:
+            self._meter.forget_peer(_make_zone_key(zone))
 
     def expire(self, now: float) -> None:
-        """Drop what was not told again."""
+        """Drop the demand of hosts and zones whose last report is too old."""
         for peer in self._peers.peers.values():
             if not peer.is_heard(now):
                 self._meter.forget_peer(peer.host)
-        for zone, at in list(self._told_at.items()):
+        for zone, at in list(self._updated_at.items()):
             if now - at >= PEER_TIMEOUT_SECONDS:
                 self.drop_zone(zone)
 
 
-def _name_zone(zone: str) -> str:
-    """Return the name under which a zone's sum stands among single hosts."""
+def _make_zone_key(zone: str) -> str:
+    """Return the key of a zone's sum in the meter, which is no host's name."""
     return f"zone {zone}"
 
 
-def _write_offered(offered: dict[str, Demand]) -> Offered:
+def _encode(demand: dict[str, Demand]) -> EncodedDemand:
     return {
         name: (round(item.read_tokens), round(item.decode_slots, 2), round(item.read_slots, 2))
-        for name, item in offered.items()
+        for name, item in demand.items()
     }
 
 
-def _read_offered(offered: Offered) -> dict[str, Demand]:
-    return {name: Demand(*figures) for name, figures in offered.items()}
+def _decode(demand: EncodedDemand) -> dict[str, Demand]:
+    return {name: Demand(*values) for name, values in demand.items()}
