--- a/src/swifttrestle/internal/coordination/acceptance.py
+++ b/src/swifttrestle/internal/coordination/acceptance.py
@@ -1,8 +1,8 @@
-"""Operators' objects become the accepted configuration, or are refused with a reason.
+"""Validation of operators' objects and their division into shards of accepted configuration.
 
-The holder of the configuration lease validates what operators wrote and writes accepted
-shards with rising epochs. A faulty edit leaves the accepted resource in its place; where
-even that does not fit with the other edits, nothing is taken over until it is mended.
+The holder of the configuration lease validates what operators wrote and writes accepted shards
+with increasing epochs. An invalid edit leaves the accepted resource in place. Where that resource
+conflicts with other edits, no edit is accepted until the conflict is resolved.
 """
 
 import zlib
@@ -23,20 +23,22 @@
     parse_resource,
 )
 
-WORKSPACE_SHARDS = 8
+WORKSPACE_SHARD_COUNT = 8
 MAX_SHARD_BYTES = 900_000
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What is accepted now, and why the rest is not."""
+class AcceptanceResult:
+    """The accepted resources by key, and the faults of the rejected ones."""
 
     accepted: dict[str, Resource]
     faults: tuple[FieldFault, ...]
 
 
-def decide_acceptance(stored: Iterable[StoredObject], accepted: dict[str, Resource]) -> Verdict:
-    """Return what to accept, given operators' objects and what was accepted before."""
+def decide_acceptance(
+    stored: Iterable[StoredObject], accepted: dict[str, Resource]
+) -> AcceptanceResult:
+    """Return what to accept, given operators' objects and the resources accepted so far."""
     wanted: dict[str, Resource] = {}
     faults: list[FieldFault] = []
     for item in stored:
@@ -49,26 +51,26 @@
                 if key in accepted:
                     wanted[key] = accepted[key]
     for _ in range(len(KINDS)):
-        clashes = find_faults(group_resources(wanted.values()))
-        if not clashes:
-            return Verdict(wanted, tuple(faults))
-        faults.extend(clash for clash in clashes if clash not in faults)
-        _put_back({clash.resource for clash in clashes}, wanted, accepted)
-    return Verdict(dict(accepted), tuple(faults))
+        conflicts = find_faults(group_resources(wanted.values()))
+        if not conflicts:
+            return AcceptanceResult(wanted, tuple(faults))
+        faults.extend(conflict for conflict in conflicts if conflict not in faults)
+        _revert({conflict.resource for conflict in conflicts}, wanted, accepted)
+    return AcceptanceResult(dict(accepted), tuple(faults))
 
 
-def _put_back(keys: set[str], wanted: dict[str, Resource], accepted: dict[str, Resource]) -> None:
+def _revert(keys: set[str], wanted: dict[str, Resource], accepted: dict[str, Resource]) -> None:
     for key in keys:
         if key in accepted and wanted.get(key) != accepted[key]:
             wanted[key] = accepted[key]
         elif key in accepted:
-            # It stood well before: what it needs was changed or deleted, so bring that back.
-            _restore_needed(accepted, wanted)
+            # The resource itself is unchanged, so one that it refers to was changed or deleted.
+            _restore_missing(accepted, wanted)
         else:
             wanted.pop(key, None)
 
 
-def _restore_needed(accepted: dict[str, Resource], wanted: dict[str, Resource]) -> None:
+def _restore_missing(accepted: dict[str, Resource], wanted: dict[str, Resource]) -> None:
     for key, resource in accepted.items():
         if key not in wanted:
             wanted[key] = resource
@@ -77,9 +79,9 @@
 def shard_of(resource: Resource) -> str:
     """Return the name of the shard that holds a resource."""
     if resource.KIND == "Workspace":
-        return f"workspaces.{zlib.crc32(resource.name.encode()) % WORKSPACE_SHARDS}"
+        return f"workspaces.{zlib.crc32(resource.name.encode()) % WORKSPACE_SHARD_COUNT}"
     if resource.KIND in ("Upstream", "Drain"):
-        # Drains are kept apart from upstreams: they change often and stay few.
+        # Drains have a shard of their own: they change often and are few.
         return "drains" if resource.KIND == "Drain" else f"upstreams.{_zone(resource)}"
     return "fleet"
 
@@ -89,10 +91,10 @@
 
 
 def split_shards(accepted: dict[str, Resource]) -> dict[str, list[dict[str, Any]]]:
-    """Return the plain resources of each shard, in a fixed order."""
+    """Return the resources of each shard in stored form, sorted by key."""
     shards: dict[str, list[dict[str, Any]]] = {}
     for key in sorted(accepted):
         resource = accepted[key]
-        plain = {"kind": resource.KIND, "name": resource.name, "spec": resource.spec()}
-        shards.setdefault(shard_of(resource), []).append(plain)
+        entry = {"kind": resource.KIND, "name": resource.name, "spec": resource.spec()}
+        shards.setdefault(shard_of(resource), []).append(entry)
     return shards
--- a/src/swifttrestle/internal/coordination/actors.py
+++ b/src/swifttrestle/internal/coordination/actors.py
@@ -1,7 +1,7 @@
 """The controller's actors: one for the configuration, one for each pool, one for status.
 
-Each owns its state and works on one message at a time, so nothing in `Pool` or
-`ConfigAuthority` needs a lock, and a slow engine holds up its own pool alone.
+Each actor owns its state and handles one message at a time, so `Pool` and `ConfigAuthority` need
+no locks, and a slow engine delays only its own pool.
 """
 
 import threading
@@ -26,28 +26,28 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """Asks an actor to do one step with the configuration now in force."""
+    """Asks an actor to run one step with the configuration in force."""
 
     config: ResourceSet
 
 
 @dataclass(frozen=True)
 class Release:
-    """Asks an actor to give up its lease; it answers when that is done."""
+    """Asks an actor to release its lease; the reply follows the release."""
 
 
 class StepActor(pykka.ThreadingActor):
-    """Base of actors that step at each tick; a tick that comes while one waits is dropped."""
+    """Base of actors that run one step a tick; a tick sent while one is queued is dropped."""
 
     use_daemon_thread = True
 
     def __init__(self, tick_pending: threading.Event) -> None:
-        """Start; `tick_pending` is set by whoever sends a tick and cleared when it is taken up."""
+        """Start; a tick's sender sets `tick_pending`, and the actor clears it."""
         super().__init__()
         self.tick_pending = tick_pending
 
     def on_receive(self, message: Any) -> Any:
-        """Step or release; a failure is logged and the actor lives on."""
+        """Run a step or release the lease; log failures and keep running."""
         try:
             if isinstance(message, Tick):
                 self.tick_pending.clear()
@@ -55,35 +55,35 @@
             elif isinstance(message, Release):
                 self.release()
         except Exception:
-            logger.exception("a step failed")
+            logger.exception("actor step failed")
 
     def step(self, config: ResourceSet) -> None:
-        """Do one step."""
+        """Run one step with `config`."""
         raise NotImplementedError
 
     def release(self) -> None:
-        """Give up what is held."""
+        """Release the lease, if the actor has one."""
 
 
 class ConfigActor(StepActor):
-    """Accepts configuration while it holds the configuration lease."""
+    """Accepts configuration while the process holds the configuration lease."""
 
     def __init__(self, tick_pending: threading.Event, authority: ConfigAuthority) -> None:
-        """Work on one authority."""
+        """Run the steps of `authority`."""
         super().__init__(tick_pending)
         self._authority = authority
 
     def step(self, config: ResourceSet) -> None:
-        """Renew or campaign, then accept what changed."""
+        """Renew or contend for the lease, then accept changed objects."""
         self._authority.tick()
 
     def release(self) -> None:
-        """Give up the configuration lease."""
+        """Release the configuration lease."""
         _release(self._authority.lease.release)
 
 
 class PoolActor(StepActor):
-    """Works one pool while it holds the pool's lease."""
+    """Controls one pool while the process holds the pool's lease."""
 
     def __init__(
         self,
@@ -91,35 +91,35 @@
         pool: Pool,
         publish: Callable[[str, PoolStatus | None], None],
     ) -> None:
-        """Work on one pool and publish its status after each step."""
+        """Control `pool` and publish its status after each step."""
         super().__init__(tick_pending)
         self._pool = pool
         self._publish = publish
 
     def step(self, config: ResourceSet) -> None:
-        """Renew or campaign, then move each engine one step on."""
+        """Renew or contend for the lease, then advance each engine by one step."""
         self._pool.tick(config)
         self._publish(self._pool.name, self._pool.status())
 
     def release(self) -> None:
-        """Give up the pool's lease."""
+        """Release the pool's lease."""
         _release(self._pool.lease.release)
 
 
 class StatusActor(StepActor):
-    """Writes the status of all that this process holds, one object each, when it changed."""
+    """Writes one status object for each lease that this process holds, on change."""
 
     def __init__(
         self, tick_pending: threading.Event, api: ObjectApi, collect: Callable[[], dict[str, dict]]
     ) -> None:
-        """Write what `collect` returns, by name of the status object."""
+        """Write the result of `collect`, which maps names of status objects to their content."""
         super().__init__(tick_pending)
         self._api = api
         self._collect = collect
         self._written: dict[str, dict] = {}
 
     def step(self, config: ResourceSet) -> None:
-        """Write what changed; an outage only delays it."""
+        """Write changed status objects; after a failure the next step tries again."""
         for name, status in self._collect().items():
             if self._written.get(name) == status:
                 continue
@@ -138,5 +138,4 @@
     try:
         release()
     except (PlatformUnavailableError, ConflictError):
-        # Not given up in time: others wait until the lease has run out.
-        logger.warning("a lease could not be released")
+        logger.warning("lease not released; other processes wait until it expires")
--- a/src/swifttrestle/internal/coordination/conditional_writes.py
+++ b/src/swifttrestle/internal/coordination/conditional_writes.py
@@ -1,9 +1,9 @@
 """Conditional writes whose answer may be lost.
 
-Every write of the system's own objects carries a nonce. Where the answer does not come,
-the object is read back: our nonce there means that the write took effect, a different
-version means that it never will, and the same version means that it may be sent again,
-since a conditional update can take effect once at most.
+Every write of this system's own objects carries a nonce. If a write is not answered, the object is
+read back. If it has the nonce, the write took effect; if it has another version, the write can no
+longer take effect; if it has the expected version, the write is sent again, which is safe since a
+conditional update takes effect at most once.
 """
 
 import secrets
@@ -19,33 +19,35 @@
 from swifttrestle.internal.protocol.platform import ObjectApi, StoredObject
 
 NONCE = "nonce"
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 def write_once(
     api: ObjectApi, kind: str, name: str, spec: dict[str, Any], version: int
 ) -> StoredObject:
     """Write conditionally, at most once; raise ConflictError or PlatformUnavailableError."""
-    marked = {**spec, NONCE: secrets.token_hex(8)}
+    spec_with_nonce = {**spec, NONCE: secrets.token_hex(8)}
     failure: PlatformUnavailableError | None = None
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         try:
-            return api.write(kind, name, marked, version)
+            return api.write(kind, name, spec_with_nonce, version)
         except RateLimitedError:
             raise
         except ConflictError:
-            # The first try may have been the one that took effect.
+            # An earlier attempt without an answer may have taken effect.
             stored = read_or_none(api, kind, name)
-            if stored and stored.spec.get(NONCE) == marked[NONCE]:
+            if stored and stored.spec.get(NONCE) == spec_with_nonce[NONCE]:
                 return stored
             raise
         except PlatformUnavailableError as error:
             failure = error
             stored = read_or_none(api, kind, name)
-            if stored and stored.spec.get(NONCE) == marked[NONCE]:
+            if stored and stored.spec.get(NONCE) == spec_with_nonce[NONCE]:
                 return stored
             if (stored.version if stored else 0) != version:
-                raise ConflictError(f"{kind}/{name} was written by another") from None
+                raise ConflictError(
+                    f"{kind}/{name} was changed concurrently: expected version {version}"
+                ) from None
     assert failure is not None
     raise failure
 
@@ -56,7 +58,7 @@
 
 
 def read_or_none(api: ObjectApi, kind: str, name: str) -> StoredObject | None:
-    """Return an object, or None where it does not exist."""
+    """Return an object, or None if it does not exist."""
     try:
         return api.read(kind, name)
     except NotFoundError:
@@ -69,8 +71,11 @@
     name: str,
     change: Callable[[dict[str, Any] | None], dict[str, Any] | None],
 ) -> StoredObject | None:
-    """Read, change and write until no other write comes between; None from `change` ends it."""
-    for _ in range(TRIES):
+    """Read, change and write an object, and retry on conflict; raise ConflictError at last.
+
+    Nothing is written if `change` returns None.
+    """
+    for _ in range(MAX_ATTEMPTS):
         stored = read_or_none(api, kind, name)
         wanted = change(stored.spec if stored else None)
         if wanted is None:
@@ -79,4 +84,4 @@
             return write_once(api, kind, name, wanted, stored.version if stored else 0)
         except ConflictError:
             continue
-    raise ConflictError(f"{kind}/{name} was written by others {TRIES} times in a row")
+    raise ConflictError(f"{kind}/{name} was changed concurrently in {MAX_ATTEMPTS} attempts")
--- a/src/swifttrestle/internal/coordination/config_authority.py
+++ b/src/swifttrestle/internal/coordination/config_authority.py
@@ -1,4 +1,4 @@
-"""The configuration lease: judges operators' objects and writes accepted shards."""
+"""Validates operators' objects and writes accepted shards, under the configuration lease."""
 
 from swifttrestle.errors import ConflictError, LeaseLostError, PlatformUnavailableError
 from swifttrestle.internal.coordination.acceptance import decide_acceptance, split_shards
@@ -13,7 +13,7 @@
 
 
 class ConfigAuthority:
-    """Accepts configuration while it holds the lease; used from one thread."""
+    """Accepts configuration while it holds the lease. Not thread-safe."""
 
     def __init__(
         self,
@@ -23,18 +23,17 @@
         store: ConfigStore,
         metrics: Metrics,
     ) -> None:
-        """Prepare; nothing happens before `tick`."""
         self.lease = lease
         self._api = api
         self._cache = cache
         self._store = store
         self._metrics = metrics
         self._term = 0
-        self._judged: dict[str, int] = {}
+        self._processed_versions: dict[str, int] = {}
         self.faults: tuple[FieldFault, ...] = ()
 
     def tick(self) -> None:
-        """Renew or campaign; as the holder, accept what operators changed."""
+        """Renew or contend for the lease; as its holder, accept operators' changes."""
         self.lease.tick()
         if not self.lease.held:
             self._term = 0
@@ -46,35 +45,35 @@
                 self._accept()
         except (ConflictError, PlatformUnavailableError, LeaseLostError) as error:
             self._metrics.count("accept_waits_total", reason=error.code.name)
-            self._judged = {}
+            self._processed_versions = {}
 
     def _begin_term(self) -> None:
-        """Read the accepted shards from the platform itself: an older copy could be behind."""
+        """Read the accepted shards from the platform, since the cache may be behind."""
         listing = self._api.list(ACCEPTED)
         copies = [read_shard(item.name, item.spec) for item in listing.items]
         self._store.apply(copy for copy in copies if copy is not None)
-        self._judged = {}
+        self._processed_versions = {}
         self._term = self.lease.check()
 
     def _accept(self) -> None:
         stored = [item for kind in KINDS for item in self._cache.all(kind)]
         versions = {f"{item.kind}/{item.name}": item.version for item in stored}
-        if versions == self._judged:
+        if versions == self._processed_versions:
             return
         accepted = list_resources(self._store.current)
-        verdict = decide_acceptance(stored, accepted)
-        if verdict.faults != self.faults:
-            for fault in verdict.faults:
+        result = decide_acceptance(stored, accepted)
+        if result.faults != self.faults:
+            for fault in result.faults:
                 log_warning("resource not accepted", fault=str(fault))
-        self.faults = verdict.faults
-        if verdict.accepted != accepted:
-            self._write_shards(verdict.accepted, accepted)
-        self._judged = versions
+        self.faults = result.faults
+        if result.accepted != accepted:
+            self._write_shards(result.accepted, accepted)
+        self._processed_versions = versions
 
     def _write_shards(self, wanted: dict[str, Resource], before: dict[str, Resource]) -> None:
         shards = split_shards(wanted)
         old = split_shards(before)
-        # Everything that others point at goes first: fleet, then workspaces and upstreams.
+        # Resources that others refer to are in `fleet`, which is written first.
         for name in sorted({*shards, *old}, key=lambda n: (n != "fleet", n)):
             resources = shards.get(name, [])
             if resources == old.get(name, []):
@@ -92,6 +91,6 @@
 
 
 def list_resources(current: ResourceSet) -> dict[str, Resource]:
-    """Return all resources of a set by kind and name."""
+    """Return all resources of a set by key."""
     groups = vars(current).values()
     return {item.key: item for group in groups for item in group.values()}
--- a/src/swifttrestle/internal/coordination/engine_views.py
+++ b/src/swifttrestle/internal/coordination/engine_views.py
@@ -1,4 +1,4 @@
-"""What a pool's holder knows of its engines, and what operators read of it."""
+"""The state of a pool's engines as its holder knows it, and the status shown to operators."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass
 class EngineView:
-    """What the pool's holder knows of one engine in this term."""
+    """The state of one engine as known to the pool's holder in this term."""
 
     engine: Engine
     order: Order | None = None
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class PoolStatus:
-    """What operators read about a pool."""
+    """The status of a pool, for operators."""
 
     holder: str
     token: int
@@ -33,8 +33,8 @@
     engines: dict[str, dict] = field(default_factory=dict)
 
 
-def show_view(view: EngineView) -> dict:
-    """Return what operators read about one engine."""
+def describe_view(view: EngineView) -> dict:
+    """Return the status of one engine, for operators."""
     state = view.state
     return {
         "holding": state.holding.plain() if state else None,
--- a/src/swifttrestle/internal/coordination/leases.py
+++ b/src/swifttrestle/internal/coordination/leases.py
@@ -1,12 +1,12 @@
-"""Leases with fencing tokens, kept as objects in the platform.
+"""Leases with fencing tokens, stored as objects in the platform.
 
-Time is never compared between hosts. The holder counts from the moment before it sent the
-renewal, on its own monotonic clock, and stops a margin early; a challenger takes over after
-it has itself seen the same version for the duration and a margin more.
+Clocks are never compared between hosts. The holder measures from the time before it sent the
+renewal, on its own monotonic clock, and stops a margin early. A challenger takes the lease after it
+has itself seen the same version for the duration and a margin.
 
-Time alone is not enough for engines that obey any order, since a holder can be paused
-between its check and its send. Each lease therefore names its former holders that are not
-proved dead; see `Lease.former` and docs/design/authority.md.
+For engines that do not check fencing tokens this is not enough, since a holder can be paused
+between its check and its send. Each lease therefore lists the former holders that are not proved
+dead; see `Lease.former` and docs/design/authority.md.
 """
 
 from dataclasses import dataclass, replace
@@ -25,13 +25,13 @@
 from swifttrestle.internal.protocol.platform import ObjectApi, StoredObject
 
 LEASE = "Lease"
-FENCE_SHIFT = 20
-RENEW_SHARE = 3
+SEQUENCE_BITS = 20
+RENEWALS_PER_DURATION = 3
 
 
 @dataclass(frozen=True)
 class Holder:
-    """One run of one process."""
+    """One incarnation of a process; `incarnation` increases with each start."""
 
     name: str
     host: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Lease:
-    """A lease as it stands in the platform; `former` may still be alive and sending."""
+    """A lease as stored in the platform; holders in `former` may still be alive and sending."""
 
     holder: Holder
     token: int
@@ -63,16 +63,16 @@
         former = tuple(Holder(**item) for item in spec["former"])
         return Lease(Holder(**spec["holder"]), int(spec["token"]), bool(spec["released"]), former)
     except (KeyError, TypeError, ValueError) as error:
-        raise BadPlatformAnswerError(f"a lease cannot be read: {error!r}") from None
+        raise BadPlatformAnswerError(f"stored lease is malformed: {error!r}") from None
 
 
 def make_fence(token: int, sequence: int) -> int:
-    """Return the number of one order: it rises with each term, and within it with each order."""
-    return (token << FENCE_SHIFT) + sequence
+    """Return an order's fencing number, which increases over terms and orders within a term."""
+    return (token << SEQUENCE_BITS) + sequence
 
 
 class LeaseManager:
-    """Campaigns for one lease and keeps it; used from one thread."""
+    """Acquires and renews one lease. Not thread-safe."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         margin: float,
         delay: float = 0.0,
     ) -> None:
-        """Prepare; times in seconds, `delay` is how long to leave the lease to others first."""
+        """Set up; times are in seconds. A free lease is taken only after `delay`."""
         self.name = name
         self._api = api
         self._cache = cache
@@ -107,25 +107,24 @@
         return self.lease is not None and self._clock.now() < self._valid_until
 
     def check(self) -> int:
-        """Return the token; raise LeaseLostError where the lease is not held any more."""
+        """Return the token; raise LeaseLostError if the lease is lost or expired."""
         if self.lease is None or not self.held:
-            raise LeaseLostError(f"lease {self.name} is not held")
+            raise LeaseLostError(f"this process does not hold lease {self.name}")
         return self.lease.token
 
     def tick(self) -> None:
-        """Renew, campaign, or do nothing; failures of the platform are waited out."""
+        """Renew or contend for the lease if it is time to; after a failure, retry at next tick."""
         try:
             if self.lease is not None:
-                self._keep()
+                self._renew_if_due()
             else:
-                self._campaign()
+                self._contend()
         except (ConflictError, PlatformUnavailableError):
-            # Another was faster, or nobody can write now: the next tick looks again.
             if self.lease is not None and not self.held:
-                self._lose("time ran out")
+                self._lose("expired without renewal")
 
     def release(self) -> None:
-        """Give the lease up, so that another may act at once."""
+        """Release the lease, so that another process can take it at once."""
         if self.lease is None or self._stored is None:
             return
         released = replace(self.lease, released=True)
@@ -134,12 +133,12 @@
         write_once(self._api, LEASE, self.name, released.spec(), version)
 
     def set_former(self, former: tuple[Holder, ...]) -> None:
-        """Write the former holders anew, after some were proved dead."""
+        """Replace the list of former holders, after some were proved dead."""
         self.check()
         assert self.lease is not None
         self._write(replace(self.lease, former=former), self._version())
 
-    def _keep(self) -> None:
+    def _renew_if_due(self) -> None:
         if self._clock.now() < self._renew_at and self.held:
             return
         assert self.lease is not None
@@ -149,37 +148,37 @@
             self._resolve_conflict()
 
     def _resolve_conflict(self) -> None:
-        # A former holder that woke up takes itself off the list, which is no loss of ours.
+        # A former holder that resumed removes itself from the list; the lease is still held.
         stored = read_or_none(self._api, LEASE, self.name)
         found = read_lease(stored.spec) if stored else None
         assert self.lease is not None
         if found is None or found.holder != self._me or found.token != self.lease.token:
-            self._lose("another holds it")
+            self._lose("deleted or taken by another process")
             return
         self._stored = stored
         self._write(found, self._version())
 
-    def _campaign(self) -> None:
+    def _contend(self) -> None:
         known = self._cache.get(LEASE, self.name)
         if known is None:
-            if self._cache.synced.is_set() and self._waited_for_absent():
+            if self._cache.synced.is_set() and self._is_absent_long_enough():
                 self._write(Lease(self._me, 1, False, ()), 0)
-                self._won()
+                self._on_acquired()
             return
         current = read_lease(known.spec)
         if any(holder == self._me for holder in current.former):
-            self._leave_former(known, current)
+            self._remove_from_former(known, current)
             return
         if not self._may_take(known, current):
             return
         former = current.former
-        if not current.released and not _is_over(current.holder, self._me):
+        if not current.released and not _has_ended(current.holder, self._me):
             former = (*former, current.holder)
-        former = tuple(holder for holder in former if not _is_over(holder, self._me))
+        former = tuple(holder for holder in former if not _has_ended(holder, self._me))
         self._write(Lease(self._me, current.token + 1, False, former), known.version)
-        self._won()
+        self._on_acquired()
 
-    def _waited_for_absent(self) -> bool:
+    def _is_absent_long_enough(self) -> bool:
         now = self._clock.now()
         if self._absent_since is None:
             self._absent_since = now
@@ -187,31 +186,31 @@
 
     def _may_take(self, known: StoredObject, current: Lease) -> bool:
         unchanged = self._clock.now() - self._cache.unchanged_since(LEASE, self.name)
-        if current.released or _is_over(current.holder, self._me):
+        if current.released or _has_ended(current.holder, self._me):
             return unchanged >= self._delay
         return unchanged >= self._duration + self._margin + self._delay
 
-    def _leave_former(self, known: StoredObject, current: Lease) -> None:
-        # This process holds nothing and sends nothing: ticks and sends share one thread.
+    def _remove_from_former(self, known: StoredObject, current: Lease) -> None:
+        # No send of this process can be in progress: ticks and sends share one thread.
         former = tuple(holder for holder in current.former if holder != self._me)
-        left = replace(current, former=former)
-        stored = write_once(self._api, LEASE, self.name, left.spec(), known.version)
+        updated = replace(current, former=former)
+        stored = write_once(self._api, LEASE, self.name, updated.spec(), known.version)
         self._cache.apply_own_write(stored)
-        log_info("former holder stepped back", lease=self.name)
+        log_info("removed from former holders", lease=self.name)
 
     def _version(self) -> int:
         return self._stored.version if self._stored else 0
 
     def _write(self, lease: Lease, version: int) -> None:
-        before = self._clock.now()
+        started = self._clock.now()
         stored = write_once(self._api, LEASE, self.name, lease.spec(), version)
         self._stored = stored
         self.lease = lease
-        self._valid_until = before + self._duration - self._margin
-        self._renew_at = before + self._duration / RENEW_SHARE
+        self._valid_until = started + self._duration - self._margin
+        self._renew_at = started + self._duration / RENEWALS_PER_DURATION
         self._cache.apply_own_write(stored)
 
-    def _won(self) -> None:
+    def _on_acquired(self) -> None:
         self._absent_since = None
         assert self.lease is not None
         log_info("lease taken", lease=self.name, token=self.lease.token)
@@ -224,8 +223,8 @@
         log_info("lease lost", lease=self.name, reason=reason)
 
 
-def _is_over(holder: Holder, other: Holder) -> bool:
-    # The same run is no danger to itself. A later run on the same host has bound the
-    # process's fixed port, which it could not have done while the earlier run lived.
-    same = holder.name == other.name and holder.host == other.host
-    return same and holder.incarnation <= other.incarnation
+def _has_ended(holder: Holder, other: Holder) -> bool:
+    # A later incarnation on the same host proves that the earlier one ended: both bind the same
+    # port. A process also need not wait for itself.
+    same_process = holder.name == other.name and holder.host == other.host
+    return same_process and holder.incarnation <= other.incarnation
--- a/src/swifttrestle/internal/coordination/object_cache.py
+++ b/src/swifttrestle/internal/coordination/object_cache.py
@@ -1,8 +1,7 @@
-"""A copy of some kinds of objects, kept by one listing a kind and one watch for all.
+"""A cache of some kinds of objects, filled by one listing for each kind and one watch for all.
 
-A waiting watch counts as one call whatever it covers, so a process keeps a single one. When
-the watch breaks, its return is spread over a random pause, so that an outage's end brings
-no storm of listings.
+A watch counts as one call for any number of kinds, so a process keeps a single one. After a failure
+it reconnects with random backoff, so that processes do not all list at once after an outage.
 """
 
 import random
@@ -21,10 +20,10 @@
 
 
 class ObjectCache:
-    """Copies of objects by kind and name, each with the local time it was first seen."""
+    """Copies of objects by kind and name, each with the local time its version was first seen."""
 
     def __init__(self, api: ObjectApi, kinds: tuple[str, ...], clock: Clock, seed: int) -> None:
-        """Prepare to follow some kinds; `start` begins."""
+        """Set up a cache of `kinds`; `start` fills it."""
         self._api = api
         self._kinds = kinds
         self._clock = clock
@@ -38,28 +37,28 @@
         self.listings = 0
 
     def subscribe(self, listener: Listener) -> None:
-        """Call the listener with each change: the object, and whether it was deleted."""
+        """Call `listener` with each changed object and whether it was deleted."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Follow in a thread of its own."""
+        """Start a thread that lists and watches objects."""
         threading.Thread(target=self._follow, name="watch", daemon=True).start()
 
     def stop(self) -> None:
-        """Follow no longer."""
+        """Stop listing and watching."""
         self._stopped.set()
 
     def get(self, kind: str, name: str) -> StoredObject | None:
-        """Return the copy of one object."""
+        """Return the copy of an object, or None if the cache has none."""
         with self._lock:
             found = self._objects.get((kind, name))
         return found[0] if found else None
 
     def unchanged_since(self, kind: str, name: str) -> float:
-        """Return the local time since which this version stands while the watch lives.
+        """Return the local time since which an object has had its current version.
 
-        The time starts anew when a broken watch comes back: a holder that could not renew
-        in an outage gets its turn before a challenger does.
+        The time is reset when a broken watch reconnects, so that a lease's holder that could not
+        renew in an outage can do so before a challenger takes the lease.
         """
         with self._lock:
             found = self._objects.get((kind, name))
@@ -79,7 +78,7 @@
                 self._watch(since)
             except (PlatformUnavailableError, NotFoundError) as error:
                 if self.connected:
-                    log_warning("object API lost", reason=str(error))
+                    log_warning("object API unavailable", reason=str(error))
                 self.connected = False
             failures += 1
             self._stopped.wait(
@@ -90,23 +89,23 @@
         since: int | None = None
         for kind in self._kinds:
             listing = self._api.list(kind)
-            # The watch starts from the oldest listing, so no change falls between two.
+            # The watch starts at the earliest listing, so that no change is missed.
             since = listing.version if since is None else min(since, listing.version)
             self._replace(kind, listing.items)
         self.listings += 1
         self.connected = True
         self.synced.set()
-        log_info("object API followed", since=since)
+        log_info("object API listed, watch starts", since=since)
         return since or 0
 
     def _replace(self, kind: str, items: tuple[StoredObject, ...]) -> None:
         names = {item.name for item in items}
         for stale in self.all(kind):
             if stale.name not in names:
-                self._note(stale, deleted=True)
+                self._apply(stale, deleted=True)
         now = self._clock.now()
         for item in items:
-            self._note(item, deleted=False)
+            self._apply(item, deleted=False)
             with self._lock:
                 self._objects[kind, item.name] = (item, now)
 
@@ -115,9 +114,9 @@
             if self._stopped.is_set():
                 return
             if event.stored is not None:
-                self._note(event.stored, event.deleted)
+                self._apply(event.stored, event.deleted)
 
-    def _note(self, item: StoredObject, deleted: bool) -> None:
+    def _apply(self, item: StoredObject, deleted: bool) -> None:
         key = (item.kind, item.name)
         with self._lock:
             known = self._objects.get(key)
@@ -131,5 +130,5 @@
             listener(item, deleted)
 
     def apply_own_write(self, item: StoredObject) -> None:
-        """Take over an object that this process has just written."""
-        self._note(item, deleted=False)
+        """Store an object that this process has just written."""
+        self._apply(item, deleted=False)
--- a/src/swifttrestle/internal/coordination/orders.py
+++ b/src/swifttrestle/internal/coordination/orders.py
@@ -1,12 +1,12 @@
-"""Orders to engines: written down before they are sent, one open order an engine.
+"""Orders to engines: each is recorded before it is sent, and an engine has one open order at most.
 
-An order's object moves through stages by conditional updates. Whoever holds the pool's
-lease can take an open order up where another holder left it:
+An order's object moves through stages by conditional updates. A new holder of the pool's lease
+continues an open order from its stage:
 
-    closing  entries are asked to give the engine no new work; nothing was sent
+    closing  entries are asked to send the engine no new requests; the order was not sent
     sent     the order may have been sent
-    done     the engine has confirmed it
-    dropped  it was given up before it was sent
+    done     the engine has confirmed the order
+    dropped  the order was cancelled before it was sent
 """
 
 from dataclasses import dataclass, replace
@@ -23,7 +23,7 @@
 
 
 class Stage(StrEnum):
-    """How far an order has come."""
+    """Progress of an order."""
 
     CLOSING = "closing"
     SENT = "sent"
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class Order:
-    """One order; `number` rises with each order of an engine, `fence` is what was sent last.
+    """One order; `number` increases with each order of an engine, `fence` was sent last.
 
-    `boot` is the engine's boot when the order was sent: a later boot proves that an order
-    of unknown outcome is not waiting in the engine any more.
+    `boot` identifies the engine's boot when the order was sent. A later boot proves that an order
+    of unknown outcome is no longer queued in the engine.
     """
 
     engine: str
@@ -49,12 +49,12 @@
 
     @property
     def order_id(self) -> str:
-        """The id by which the engine names the last order it took."""
+        """The id by which the engine reports the last order that it accepted."""
         return f"{self.engine}.{self.number}"
 
     @property
     def is_open(self) -> bool:
-        """Whether it must be finished or settled before another one."""
+        """Whether the order must be done or dropped before another one is opened."""
         return self.stage in (Stage.CLOSING, Stage.SENT)
 
     def spec(self) -> dict[str, Any]:
@@ -81,32 +81,32 @@
             version,
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise BadPlatformAnswerError(f"order of {engine} cannot be read: {error!r}") from None
+        raise BadPlatformAnswerError(f"order of {engine} is malformed: {error!r}") from None
 
 
 class OrderLog:
-    """The orders of a pool's engines, as they stand in the platform."""
+    """The orders of a pool's engines, stored in the platform."""
 
     def __init__(self, api: ObjectApi, cache: ObjectCache) -> None:
-        """Write through the API; fresh copies go into the cache."""
+        """Write through `api`, and update `cache` with each write."""
         self._api = api
         self._cache = cache
 
     def read(self, engine: str) -> Order | None:
-        """Return the engine's latest order, read from the platform itself."""
+        """Return the engine's latest order, read from the platform rather than the cache."""
         stored = read_or_none(self._api, ORDER, engine)
         return read_order(engine, stored.spec, stored.version) if stored else None
 
     def open(self, engine: str, last: Order | None, wanted: Holding) -> Order:
-        """Write a new order down; raise ConflictError where another was written since."""
+        """Record a new order; raise ConflictError if another was recorded since `last`."""
         if last is not None and last.is_open:
-            raise ConflictError(f"{last.order_id} is still open")
+            raise ConflictError(f"order {last.order_id} is still open")
         number = last.number + 1 if last else 1
         version = last.version if last else 0
         return self._write(Order(engine, number, Stage.CLOSING, wanted, version=version))
 
     def move(self, order: Order, stage: Stage, fence: int = 0, boot: str = "") -> Order:
-        """Write the order's next stage; raise ConflictError where another wrote it since."""
+        """Record the order's next stage; raise ConflictError if it was changed concurrently."""
         moved = replace(order, stage=stage, fence=fence or order.fence, boot=boot or order.boot)
         return self._write(moved)
 
--- a/src/swifttrestle/internal/coordination/pools.py
+++ b/src/swifttrestle/internal/coordination/pools.py
@@ -1,11 +1,11 @@
-"""One pool of engines under one lease: what each engine is to hold, and how it gets there.
+"""One pool of engines under one lease: which model each engine is to load, and how it is changed.
 
-A pool is worked by whoever holds its lease, one step of each engine at a time. The order of
-the steps is the safety argument, so it is written out once, in `_advance`:
+The holder of a pool's lease controls it, one step of each engine at a time. Safety depends on the
+order of the steps:
 
-    write the order down -> close the engine at every entry that may use it -> hear from each
-    that it has no open request there -> hear from the engine itself that none is active ->
-    write the order down as sent -> check the lease -> send -> hear it confirmed -> open
+    record the order -> close the engine at every entry that may use it -> wait until each entry
+    reports no open request there -> wait until the engine reports no active request -> record the
+    order as sent -> check the lease -> send -> wait for the engine's confirmation -> open
 
 Engines that ignore the fencing number get no order while a former holder may be alive.
 """
@@ -20,7 +20,7 @@
     UpstreamError,
 )
 from swifttrestle.internal.clock import Clock
-from swifttrestle.internal.coordination.engine_views import EngineView, PoolStatus, show_view
+from swifttrestle.internal.coordination.engine_views import EngineView, PoolStatus, describe_view
 from swifttrestle.internal.coordination.hosts import HostTracker
 from swifttrestle.internal.coordination.leases import Holder, LeaseManager, make_fence
 from swifttrestle.internal.coordination.membership import MEMBER, Membership, read_member
@@ -42,18 +42,18 @@
 )
 from swifttrestle.resources import ResourceSet, Upstream
 
-SILENT_ENTRY_PATIENCE = 20.0
-UNSEEN_SECONDS = 5.0
+SILENT_ENTRY_TIMEOUT_SECONDS = 20.0
+UNCONFIRMED_ORDER_TIMEOUT_SECONDS = 5.0
 EngineFactory = Callable[[Upstream], Engine]
 
 
 def make_http_engine(upstream: Upstream) -> Engine:
-    """Return the adapter for an engine met over HTTP."""
+    """Return the client of an engine that is called by HTTP."""
     return HttpEngine(upstream.address)
 
 
 class Pool:
-    """The work on one pool; used from one thread, its actor's."""
+    """Controls one pool. Not thread-safe: used by the pool's actor alone."""
 
     def __init__(
         self,
@@ -70,7 +70,6 @@
         metrics: Metrics,
         make_engine: EngineFactory = make_http_engine,
     ) -> None:
-        """Prepare; nothing happens before `tick`."""
         self.name = name
         self.lease = lease
         self._log = log
@@ -87,32 +86,32 @@
         self._views: dict[str, EngineView] = {}
 
     def tick(self, config: ResourceSet) -> None:
-        """Do one step of the lease and of each engine."""
+        """Renew or contend for the lease; as its holder, advance each engine by one step."""
         self.lease.tick()
         if not self.lease.held:
             self._term = 0
             return
         if self._term != self.lease.check():
             self._begin_term()
-        mine = {u.name: u for u in config.upstreams.values() if u.pool == self.name}
+        upstreams = {u.name: u for u in config.upstreams.values() if u.pool == self.name}
         try:
-            self._settle_former()
-            self._observe(mine)
-            for upstream in mine.values():
+            self._remove_dead_former()
+            self._observe(upstreams)
+            for upstream in upstreams.values():
                 self._step(upstream, config)
-            self._plan_roles(mine, config)
+            self._plan_roles(upstreams, config)
         except (LeaseLostError, StaleTokenError) as error:
-            log_info("pool left", pool=self.name, reason=str(error))
+            log_info("pool control lost", pool=self.name, reason=str(error))
         except (PlatformUnavailableError, ConflictError) as error:
-            # Planned changes wait for the platform; what is open stays written down.
+            # The next tick continues; open orders stay recorded.
             self._metrics.count("pool_waits_total", pool=self.name, reason=error.code.name)
 
     def status(self) -> PoolStatus | None:
-        """Return the status, or None where another process holds the pool."""
+        """Return the status, or None if this process does not hold the pool's lease."""
         lease = self.lease.lease
         if lease is None or not self.lease.held:
             return None
-        engines = {name: show_view(view) for name, view in self._views.items()}
+        engines = {name: describe_view(view) for name, view in self._views.items()}
         former = tuple(holder.name for holder in lease.former)
         return PoolStatus(lease.holder.name, lease.token, former, engines)
 
@@ -125,8 +124,8 @@
         self._sequence += 1
         return make_fence(self.lease.check(), self._sequence)
 
-    def _settle_former(self) -> None:
-        """Strike former holders that are proved dead off the lease."""
+    def _remove_dead_former(self) -> None:
+        """Remove former holders that are proved dead from the lease."""
         lease = self.lease.lease
         if lease is None or not lease.former:
             return
@@ -139,15 +138,15 @@
             return True
         stored = self._cache.get(MEMBER, holder.name)
         member = read_member(stored) if stored else None
-        same_place = member is not None and member.host == holder.host
-        return same_place and member is not None and member.incarnation > holder.incarnation
+        same_host = member is not None and member.host == holder.host
+        return same_host and member is not None and member.incarnation > holder.incarnation
 
-    # What the engines say.
+    # Reports of the engines.
 
-    def _observe(self, mine: Mapping[str, Upstream]) -> None:
-        for name in set(self._views) - set(mine):
+    def _observe(self, upstreams: Mapping[str, Upstream]) -> None:
+        for name in set(self._views) - set(upstreams):
             del self._views[name]
-        for name, upstream in mine.items():
+        for name, upstream in upstreams.items():
             if name not in self._views:
                 self._views[name] = EngineView(self._make_engine(upstream))
             view = self._views[name]
@@ -157,7 +156,7 @@
             except UpstreamError as error:
                 view.state = view.report = None
                 view.unseen_since = None
-                view.reason = f"not heard: {error}"
+                view.reason = f"unreachable: {error}"
 
     # One step of one engine.
 
@@ -174,7 +173,7 @@
         if view.order is not None and view.order.is_open:
             self._advance(upstream, view, view.order)
             return
-        wanted = self._want(upstream, view, config)
+        wanted = self._find_wanted(upstream, view, config)
         if upstream.name in config.drains or view.state.changing:
             view.reason = "drained" if upstream.name in config.drains else "changing"
             return
@@ -184,7 +183,7 @@
         self._start(upstream, view, wanted)
 
     def _has_authority(self, upstream: Upstream, view: EngineView) -> bool:
-        """Make sure that no earlier holder's order can still take effect on this engine."""
+        """Return whether no earlier holder's order can still take effect on this engine."""
         assert view.state is not None
         if upstream.fencing == "checked":
             if view.raised_boot != view.state.boot:
@@ -198,7 +197,7 @@
             return False
         return True
 
-    def _want(self, upstream: Upstream, view: EngineView, config: ResourceSet) -> Holding:
+    def _find_wanted(self, upstream: Upstream, view: EngineView, config: ResourceSet) -> Holding:
         assert view.state is not None
         model = config.models.get(upstream.model)
         if model is None:
@@ -213,7 +212,7 @@
         return Holding(model.name, model.version, tuple(adapters), role)
 
     def _start(self, upstream: Upstream, view: EngineView, wanted: Holding) -> None:
-        if self._is_last_holding(upstream, view):
+        if self._is_last_ready(upstream, view):
             view.reason = "waits: no other engine of its pool is ready"
             return
         view.order = self._log.open(upstream.name, view.order, wanted)
@@ -222,8 +221,8 @@
         log_info("order opened", order=view.order.order_id, wanted=str(wanted.plain()))
         self._advance(upstream, view, view.order)
 
-    def _is_last_holding(self, upstream: Upstream, view: EngineView) -> bool:
-        """Whether callers would be left without an engine while this one changes."""
+    def _is_last_ready(self, upstream: Upstream, view: EngineView) -> bool:
+        """Return whether no other engine could serve callers while this one changes."""
         assert view.state is not None
         if not view.state.holding.model:
             return False
@@ -242,17 +241,17 @@
         if order.stage is Stage.CLOSING:
             self._close_then_send(upstream, view, order)
         else:
-            self._settle_sent(upstream, view, order)
+            self._confirm_or_resend(upstream, view, order)
 
     def _close_then_send(self, upstream: Upstream, view: EngineView, order: Order) -> None:
         self._announce(order)
         assert view.state is not None
-        waits_for = self._find_unready_entry(upstream.name, closing_generation(order.number))
-        if waits_for:
-            view.reason = f"closing: waits for entry {waits_for}"
-            self._drop_if_patience_ends(view, order)
+        unready = self._find_unready_entry(upstream.name, closing_generation(order.number))
+        if unready:
+            view.reason = f"closing: waits for entry {unready}"
+            self._drop_after_timeout(view, order)
             return
-        # Asked anew, after every entry has closed: only now can the count stay at nought.
+        # Read again after every entry has closed: only then can the count not rise any more.
         view.state = view.engine.read_state()
         if view.state.active:
             view.reason = f"closing: {view.state.active} requests active"
@@ -263,9 +262,9 @@
         self._send(view, order.order_id, order.wanted, fence)
 
     def _find_unready_entry(self, upstream: str, generation: int) -> str:
-        """Return an entry that may still send to the engine, or the empty string.
+        """Return an entry that may still send to the engine, and why, or the empty string.
 
-        The members are listed after the order was written, see `Membership.register_once`.
+        The members are listed after the order was recorded, see `Membership.register_once`.
         """
         if not self._cache.connected:
             return "list (the object API is down)"
@@ -282,23 +281,23 @@
         return ""
 
     def _is_entry_dead(self, identity: Identity) -> bool:
-        # Whoever is heard lives, whatever the list says.
-        heard = self._membership.view(identity.name) is not None
-        return not heard and self._hosts.is_gone(identity.host)
+        # An entry that sends heartbeats is alive, even if its host is listed as gone.
+        is_heard = self._membership.view(identity.name) is not None
+        return not is_heard and self._hosts.is_gone(identity.host)
 
-    def _drop_if_patience_ends(self, view: EngineView, order: Order) -> None:
-        """Give the change up where an entry is silent for long; it is planned again later."""
+    def _drop_after_timeout(self, view: EngineView, order: Order) -> None:
+        """Drop the order if an entry stays silent; the change is planned again later."""
         if "silent" not in view.reason:
             view.closing_since = view.closing_since or self._clock.now()
             return
-        if self._clock.now() - view.closing_since < SILENT_ENTRY_PATIENCE:
+        if self._clock.now() - view.closing_since < SILENT_ENTRY_TIMEOUT_SECONDS:
             return
         view.order = self._log.move(order, Stage.DROPPED)
-        view.refused_until = self._clock.now() + SILENT_ENTRY_PATIENCE
+        view.refused_until = self._clock.now() + SILENT_ENTRY_TIMEOUT_SECONDS
         self._announce(view.order)
         log_warning("order dropped", order=order.order_id, reason=view.reason)
 
-    def _settle_sent(self, upstream: Upstream, view: EngineView, order: Order) -> None:
+    def _confirm_or_resend(self, upstream: Upstream, view: EngineView, order: Order) -> None:
         state = view.state
         assert state is not None
         if state.last_order == order.order_id and not state.changing:
@@ -307,11 +306,11 @@
         if state.changing or state.last_order == order.order_id:
             view.reason = "changing"
             return
-        # Not seen by the engine. A checked engine takes it again under a higher number,
-        # which voids the first sending. One that ignores numbers gets it again only after a
-        # new boot, or after it has answered for so long that the first sending cannot still
-        # wait in its sockets: the two would want the same, but each change cuts and takes time.
-        if upstream.fencing == "checked" or state.boot != order.boot or self._is_unseen(view):
+        # The engine has not accepted the order. An engine that checks fencing numbers gets it again
+        # under a higher number, which invalidates the first one. An engine that ignores them gets
+        # it again only after a new boot, or once the first one can no longer be queued in its
+        # sockets: a second change to the same state would interrupt the engine needlessly.
+        if upstream.fencing == "checked" or state.boot != order.boot or self._is_overdue(view):
             if state.active:
                 view.reason = f"to be sent again: {state.active} requests active"
                 return
@@ -320,13 +319,13 @@
             view.unseen_since = None
             self._send(view, order.order_id, order.wanted, fence)
             return
-        view.reason = "sent: outcome unknown, waits for the engine to show it"
+        view.reason = "sent: outcome unknown, waits for the engine to report it"
 
-    def _is_unseen(self, view: EngineView) -> bool:
-        """Whether an engine has answered long enough without showing a sent order."""
+    def _is_overdue(self, view: EngineView) -> bool:
+        """Return whether an engine has answered for long without reporting a sent order."""
         if view.unseen_since is None:
             view.unseen_since = self._clock.now()
-        return self._clock.now() - view.unseen_since > UNSEEN_SECONDS
+        return self._clock.now() - view.unseen_since > UNCONFIRMED_ORDER_TIMEOUT_SECONDS
 
     def _finish(self, view: EngineView, order: Order) -> None:
         view.order = self._log.move(order, Stage.DONE)
@@ -346,18 +345,20 @@
         except UpstreamError as error:
             view.reason = f"sent, no answer: {error}"
             if wanted is None:
-                raise PlatformUnavailableError("the engine did not take the number") from None
+                raise PlatformUnavailableError(
+                    f"the engine did not accept fencing number {number}"
+                ) from None
 
     def _announce(self, order: Order | None) -> None:
-        """Tell the entries whether the order's engine is closed or open."""
+        """Announce to the entries whether the order's engine is closed or open."""
         if order is None:
             return
-        make = closing_generation if order.is_open else opening_generation
-        self._closings.merge({order.engine: make(order.number)})
+        make_generation = closing_generation if order.is_open else opening_generation
+        self._closings.merge({order.engine: make_generation(order.number)})
 
     # Roles.
 
-    def _plan_roles(self, mine: Mapping[str, Upstream], config: ResourceSet) -> None:
+    def _plan_roles(self, upstreams: Mapping[str, Upstream], config: ResourceSet) -> None:
         if not config.policy.plan_roles:
             return
         if any(view.order and view.order.is_open for view in self._views.values()):
@@ -376,17 +377,17 @@
                 view.changed_at,
             )
             for name, view in self._views.items()
-            if view.state and view.report and name in mine and name not in config.drains
-            if view.state.holding.model == mine[name].model and not view.state.changing
+            if view.state and view.report and name in upstreams and name not in config.drains
+            if view.state.holding.model == upstreams[name].model and not view.state.changing
             if self._clock.now() >= view.refused_until
         ]
-        if len(loads) < len(mine) - len([n for n in mine if n in config.drains]):
-            # Not every engine was heard: no report means no change.
+        if len(loads) < len(upstreams) - len([n for n in upstreams if n in config.drains]):
+            # A plan needs reports from all engines.
             return
         change = self._planner.plan(loads, config.policy, self._clock.now())
         if change is None:
             return
-        upstream = mine[change.engine]
+        upstream = upstreams[change.engine]
         view = self._views[change.engine]
         assert view.state is not None
         if upstream.fencing == "ignored" and self.lease.lease and self.lease.lease.former:
