--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -1,4 +1,4 @@
-"""How many upstreams of each kind: the loads and losses that each decision answers."""
+"""Scaling policies, and the declarations, records and messages that they depend on."""
 
 import zlib
 
@@ -36,13 +36,13 @@
 ZONES = ("a", "b", "c")
 
 
-def make_scaling(price=0.15, least=1, most=19):
-    return Scaling(least, most, 4.0, {"a": 0.85, "b": 1.2, "c": 1.0}, price)
+def make_scaling(price=0.15, minimum=1, maximum=19):
+    return Scaling(minimum, maximum, 4.0, {"a": 0.85, "b": 1.2, "c": 1.0}, price)
 
 
-def make_zones(lasting, reclaimable, dry=()):
+def make_zones(lasting, reclaimable, out_of_capacity=()):
     return [
-        ZoneUpstreams(zone, one, other, zone in dry)
+        ZoneUpstreams(zone, one, other, zone in out_of_capacity)
         for zone, one, other in zip(ZONES, lasting, reclaimable, strict=True)
     ]
 
@@ -53,43 +53,43 @@
         (0.15, 3, ZoneRedundantCapacity),
         (0.15, 2, ZoneRedundantCapacity),
         (0.6, 3, ZoneRedundantCapacity),
-        # With the reserve for a zone they would cost as much as lasting ones.
+        # With a reserve for the loss of a zone they would cost as much as non-reclaimable ones.
         (0.7, 3, NonReclaimableCapacity),
         (1.0, 3, NonReclaimableCapacity),
         (1.5, 3, NonReclaimableCapacity),
-        # A single zone's would all go at once.
+        # In a single zone, all of them could be reclaimed at once.
         (0.15, 1, NonReclaimableCapacity),
     ],
 )
-def test_prices_and_zones_decide_which_kinds_are_ordered(price, zones, policy):
+def test_price_and_number_of_zones_select_the_policy(price, zones, policy):
     assert isinstance(choose_capacity_policy(make_scaling(price), zones), policy)
 
 
 @pytest.mark.parametrize(
-    ("need", "lasting", "reclaimable", "dry", "wanted"),
+    ("need", "lasting", "reclaimable", "out_of_capacity", "wanted"),
     [
-        # Nothing serves in place of the lasting ones yet: they stay, within the most of a zone.
+        # No reclaimable upstream runs yet: the others stay, within the limit of a zone.
         (29, (10, 10, 9), (0, 0, 0), (), [(10, 13), (10, 13), (9, 13)]),
-        # Some serve: as many lasting ones go as are not needed when the fullest zone is lost.
+        # Some run: those non-reclaimable ones stay that are needed if the fullest zone is lost.
         (29, (10, 10, 9), (9, 9, 10), (), [(4, 13), (4, 13), (3, 13)]),
         (29, (4, 4, 4), (13, 13, 13), (), [(1, 13), (1, 13), (1, 13)]),
-        # A zone was reclaimed: the rest holds the need, and no lasting one is ordered for it.
+        # A zone was reclaimed: the others meet the need, and no upstream is added.
         (29, (1, 1, 1), (13, 0, 13), ("b",), [(1, 13), (1, 13), (1, 13)]),
-        # None can be had anywhere for long: lasting ones take their place.
+        # All zones are out of capacity: non-reclaimable ones are ordered instead.
         (9, (1, 1, 1), (0, 0, 0), ZONES, [(3, 3), (3, 3), (3, 3)]),
         (0, (1, 1, 1), (5, 5, 5), (), [(1, 0), (1, 0), (1, 0)]),
     ],
 )
-def test_reclaimable_upstreams_stand_with_a_reserve_for_a_zone(
-    need, lasting, reclaimable, dry, wanted
+def test_reclaimable_upstreams_are_planned_with_a_reserve_for_the_loss_of_a_zone(
+    need, lasting, reclaimable, out_of_capacity, wanted
 ):
     plans = ZoneRedundantCapacity().plan(
-        make_scaling(), make_zones(lasting, reclaimable, dry), need
+        make_scaling(), make_zones(lasting, reclaimable, out_of_capacity), need
     )
     assert [(item.lasting, item.reclaimable) for item in plans] == wanted
 
 
-def test_what_stands_bounds_an_order_where_the_platform_counts_it():
+def test_running_upstreams_reduce_an_order_if_the_platform_counts_them_against_its_limit():
     zones = [ZoneUpstreams(zone, 10, 0, limit_includes_existing=True) for zone in ZONES]
     plans = ZoneRedundantCapacity().plan(make_scaling(), zones, 30)
     assert [(item.lasting, item.reclaimable) for item in plans] == [(10, 9)] * 3
@@ -98,36 +98,38 @@
 COUNTS = st.tuples(*[st.integers(0, 19)] * 3)
 
 
-@given(need=st.integers(0, 30), lasting=COUNTS, reclaimable=COUNTS, most=st.integers(1, 40))
-def test_no_plan_takes_a_lasting_upstream_that_the_need_still_hangs_on(
-    need, lasting, reclaimable, most
+@given(need=st.integers(0, 30), lasting=COUNTS, reclaimable=COUNTS, maximum=st.integers(1, 40))
+def test_no_plan_releases_a_non_reclaimable_upstream_that_is_still_needed(
+    need, lasting, reclaimable, maximum
 ):
     zones = make_zones(lasting, reclaimable)
-    plans = ZoneRedundantCapacity().plan(make_scaling(most=most), zones, need)
+    plans = ZoneRedundantCapacity().plan(make_scaling(maximum=maximum), zones, need)
     left = sum(min(plan.lasting, here.lasting) for plan, here in zip(plans, zones, strict=True))
     serving = left + sum(reclaimable) - max(reclaimable)
-    # What serves through the loss of a zone does not fall under the need by the plan's doing.
+    # The plan leaves enough upstreams for the loss of the fullest zone, or as many as before.
     assert serving >= min(need, count_after_zone_loss(zones))
 
 
 @given(need=st.integers(0, 30))
-def test_a_settled_plan_holds_the_need_without_any_one_zone(need):
+def test_a_settled_plan_meets_the_need_without_any_one_zone(need):
     zones = make_zones((1, 1, 1), (19, 19, 19))
-    plans = ZoneRedundantCapacity().plan(make_scaling(most=100), zones, need)
+    plans = ZoneRedundantCapacity().plan(make_scaling(maximum=100), zones, need)
     assert count_after_zone_loss(plans) >= need
 
 
 @pytest.mark.parametrize(
-    ("need", "least", "wanted"), [(29, 1, [10, 9, 10]), (2, 1, [1, 1, 1]), (60, 1, [19, 19, 19])]
+    ("need", "minimum", "wanted"), [(29, 1, [10, 9, 10]), (2, 1, [1, 1, 1]), (60, 1, [19, 19, 19])]
 )
-def test_lasting_upstreams_alone_are_spread_and_cheap_zones_take_what_is_over(need, least, wanted):
+def test_non_reclaimable_upstreams_are_spread_evenly_and_cheap_zones_get_the_remainder(
+    need, minimum, wanted
+):
     zones = make_zones((10, 10, 9), (0, 0, 0))
-    plans = NonReclaimableCapacity().plan(make_scaling(1.0, least), zones, need)
+    plans = NonReclaimableCapacity().plan(make_scaling(1.0, minimum), zones, need)
     assert [item.lasting for item in plans] == wanted
     assert all(item.reclaimable == 0 for item in plans)
 
 
-def test_all_as_it_stands_changes_nothing():
+def test_the_unchanged_policy_changes_nothing():
     plans = UnchangedCapacity().plan(make_scaling(), make_zones((3, 2, 1), (0, 4, 0)), 99)
     assert [(item.lasting, item.reclaimable) for item in plans] == [(3, 0), (2, 4), (1, 0)]
 
@@ -146,19 +148,19 @@
     ("rate", "demand", "wanted"),
     [
         (300_000.0, Demand(0.0, 0.0), 0),
-        # 85 in 100 of a pace and of the slots can be planned on.
+        # Plans use 85 % of the read rate and of the slots.
         (300_000.0, Demand(2_550_000.0, 13.6), 10 + 2),
         (300_000.0, Demand(2_550_000.0, 68.0), 10 + 5),
         (300_000.0, Demand(1000.0, 1.0), 1 + 2),
-        # Nothing has been read yet: what stands is the better estimate.
+        # The read rate is not known yet, so no need is estimated.
         (DEFAULT_READ_RATE, Demand(2_550_000.0, 68.0), 0),
     ],
 )
-def test_the_need_follows_from_offered_work_and_learned_paces(rate, demand, wanted):
+def test_the_need_follows_from_demand_and_learned_read_rates(rate, demand, wanted):
     assert estimate_need(make_engines(rate), demand) == wanted
 
 
-def test_an_engine_that_has_just_come_does_not_raise_the_need():
+def test_an_engine_with_an_unknown_read_rate_does_not_increase_the_need():
     engines = make_engines(300_000.0) + make_engines(DEFAULT_READ_RATE)
     assert estimate_need(engines, Demand(2_550_000.0, 13.6)) == 12
 
@@ -166,25 +168,25 @@
 @pytest.mark.parametrize(
     ("needs", "wanted"),
     [
-        # The first need, what stood, counts for a minute; a higher one at once.
+        # The first need counts for a minute; a higher one replaces it at once.
         ([(0, 29), (1, 12)], 29),
         ([(0, 29), (1, 33)], 33),
         ([(0, 29), (PEAK_WINDOW_SECONDS + 1, 12)], 12),
-        # The highest swing of the last minute stands until the next one.
+        # The highest need of the last minute counts.
         ([(0, 5), (10, 20), (30, 8), (10 + PEAK_WINDOW_SECONDS, 8)], 20),
-        # A little less is no reason to give up what is warm.
+        # A slightly lower need releases no upstream with a warm cache.
         ([(0, 20), (PEAK_WINDOW_SECONDS + 1, 17)], 20),
         ([(0, 20), (PEAK_WINDOW_SECONDS + 1, int(20 / SCALE_DOWN_FACTOR) - 1)], 15),
     ],
 )
 def test_the_highest_need_of_the_last_minute_is_planned_for(needs, wanted):
-    memory = PeakNeed()
+    peak = PeakNeed()
     for at, need in needs:
-        planned = memory.note(need, at)
+        planned = peak.note(need, at)
     assert planned == wanted
 
 
-# What operators and upstreams declare of it.
+# Declarations of operators and records of upstreams.
 
 SCALED = {"min": 1, "max": 19, "bootS": 4.0, "spotPrice": 0.15, "zonePrices": {"a": 0.85}}
 
@@ -194,9 +196,9 @@
     return read_configuration({"version": 1, "services": services}).services["s"].scaling
 
 
-def test_scaling_is_read_with_its_prices():
+def test_scaling_is_parsed_with_its_prices():
     assert read_scaling(SCALED) == Scaling(1, 19, 4.0, {"a": 0.85}, 0.15)
-    # Where none may be reclaimed, they cost what lasting ones do.
+    # Without a declared price, reclaimable upstreams cost as much as non-reclaimable ones.
     assert read_scaling({"max": 3}) == Scaling(0, 3, 0.0, {}, 1.0)
     assert read_scaling(None) is None
 
@@ -213,7 +215,7 @@
         {"zonePrices": {"a": "dear"}},
     ],
 )
-def test_a_wrong_scaling_is_refused(change):
+def test_an_invalid_scaling_is_rejected(change):
     with pytest.raises(BadEntryError):
         read_scaling({**SCALED, **change})
 
@@ -231,13 +233,13 @@
         ({"spot": False, "leaves_ms": 0}, (False, 0.0)),
     ],
 )
-def test_a_record_tells_whether_its_upstream_may_be_reclaimed_and_when_it_goes(more, wanted):
+def test_a_record_shows_whether_its_upstream_is_reclaimable_and_when_it_leaves(more, wanted):
     read = read_upstream("i", {**RECORD, **more})
     assert (read.reclaimable, read.leaves_in) == wanted
 
 
 @pytest.mark.parametrize("more", [{"spot": 1}, {"leaves_ms": -1}, {"leaves_ms": "soon"}])
-def test_a_record_with_a_wrong_notice_is_refused(more):
+def test_a_record_with_an_invalid_notice_is_rejected(more):
     with pytest.raises(BadEntryError):
         read_upstream("i", {**RECORD, **more})
 
@@ -249,42 +251,35 @@
         UpstreamRecord("i", "s", ("10.0.0.1", 1), "a", 4, True, Role.NONE, 0, True, 2.5),
     ],
 )
-def test_hosts_tell_each_other_all_that_a_record_says(record):
-    """Records that came by a peer's word had lost that their upstream may be reclaimed.
-
-    The holder of the duties took 19 reclaimable engines of another zone for lasting ones, and kept
-    29 dear ones beside them: 1,657 paid seconds on a calm day.
-    """
+def test_listing_changes_between_hosts_keep_all_fields_of_a_record(record):
+    """Without the reclaimable field, peers would count these upstreams as non-reclaimable."""
     changes = ListingChanges(StoreRevision(0, 1), StoreRevision(0, 2), 0.0, (record,), ())
     assert unpack_changes(pack_changes(changes)) == changes
 
 
-# The model of bench/capacity.py: each way under the loads that the decision answers.
+# The policies under the loads of the model in bench/capacity.py.
 
 CHEAP = [load for load in LOADS if load.reclaimable_price < 0.5]
 
 
 @pytest.mark.parametrize("load", CHEAP, ids=[load.name for load in CHEAP])
-def test_the_way_in_use_misses_no_more_than_any_other_and_costs_half(load):
+def test_the_zone_redundant_policy_misses_no_more_than_any_other_and_costs_half(load):
     outcomes = {name: play(load, policy) for name, policy in POLICIES.items()}
     chosen = outcomes["reclaimable, reserve for a zone"]
-    # A tenth of a percent is one upstream for some seconds of a run.
+    # The tolerance equals one upstream for some seconds of a run.
     assert chosen.missed <= min(item.missed for item in outcomes.values()) + 0.001
     assert chosen.price <= 0.5 * outcomes["lasting alone"].price
 
 
-def test_dear_reclaimable_upstreams_are_not_ordered_since_the_reserve_costs_more():
+def test_expensive_reclaimable_upstreams_are_not_ordered_since_the_reserve_costs_more():
     load = next(load for load in LOADS if load.reclaimable_price > 0.5)
     scaling = make_scaling(load.reclaimable_price)
     reserved = play(load, ZoneRedundantCapacity())
     assert play(load, choose_capacity_policy(scaling, 3)).price < 0.8 * reserved.price
 
 
-def test_a_zones_worth_of_new_upstreams_fits_one_datagram():
-    """Changes that did not fit had all hosts of a zone read the whole list at the same moment.
-
-    When 39 engines came up and 26 left within seconds, 77 hosts did so with each pace.
-    """
+def test_sixty_new_upstreams_of_a_zone_fit_one_datagram():
+    """If changes do not fit one datagram, all hosts of a zone list the store at the same time."""
     records = tuple(
         UpstreamRecord(
             f"i-{number * 7919 % 2**40:010x}", "xavo37a", (f"10.1.64.{number}", 8243), "hall-a",
@@ -307,6 +302,6 @@
         b"\x78",
     ],
 )
-def test_a_compressed_datagram_that_is_too_large_or_cut_off_is_refused(data):
+def test_a_compressed_datagram_that_is_too_large_or_truncated_is_rejected(data):
     with pytest.raises(FrameError):
         unpack_changes(data)
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: who may act, when, and what a lost answer changes."""
+"""Leases: when a process may act under one, and how lost answers are handled."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 DURATION, MARGIN = 9.0, 1.0
 
 
-class Rivals:
-    """Two processes that want one lease."""
+class Contenders:
+    """Two processes that contend for one lease."""
 
     def __init__(self):
         self.clock = FakeClock()
@@ -26,100 +26,100 @@
             self.api, cache, "pool", me, self.clock, duration=DURATION, margin=MARGIN
         )
 
-    def pass_time(self, seconds, *ticking):
-        """Let time pass in small steps, with some processes at work."""
+    def pass_time(self, seconds, *running):
+        """Advance the clock in small steps, with a tick of each running process after each."""
         for _ in range(int(seconds * 2)):
             self.clock.time += 0.5
-            for keeper in ticking:
-                keeper.tick()
+            for process in running:
+                process.tick()
 
 
 @pytest.fixture
-def rivals():
-    found = Rivals()
-    found.one.tick()
-    return found
+def contenders():
+    created = Contenders()
+    created.one.tick()
+    return created
 
 
-def test_the_first_one_holds_it_and_the_second_waits(rivals):
-    rivals.pass_time(60, rivals.one, rivals.two)
-    assert rivals.one.held
-    assert not rivals.two.held
-    assert rivals.one.check() == 1
+def test_the_first_process_holds_the_lease_and_the_second_waits(contenders):
+    contenders.pass_time(60, contenders.one, contenders.two)
+    assert contenders.one.held
+    assert not contenders.two.held
+    assert contenders.one.check() == 1
 
 
-def test_a_holder_stops_by_itself_before_another_may_take_over(rivals):
-    rivals.two.tick()
-    rivals.pass_time(DURATION - MARGIN, rivals.two)
-    assert not rivals.one.held
-    assert not rivals.two.held
+def test_a_holder_stops_by_itself_before_another_may_take_over(contenders):
+    contenders.two.tick()
+    contenders.pass_time(DURATION - MARGIN, contenders.two)
+    assert not contenders.one.held
+    assert not contenders.two.held
     with pytest.raises(LeaseLostError):
-        rivals.one.check()
-    rivals.pass_time(2 * MARGIN + 1, rivals.two)
-    assert rivals.two.held
-    assert rivals.two.check() == 2
+        contenders.one.check()
+    contenders.pass_time(2 * MARGIN + 1, contenders.two)
+    assert contenders.two.held
+    assert contenders.two.check() == 2
 
 
-def test_never_two_holders_at_any_moment(rivals):
+def test_there_are_never_two_holders_at_once(contenders):
     for step in range(400):
-        rivals.clock.time += 0.5
+        contenders.clock.time += 0.5
         if step % 50 < 25:
-            rivals.one.tick()
+            contenders.one.tick()
         if step % 70 < 40:
-            rivals.two.tick()
-        assert not (rivals.one.held and rivals.two.held)
+            contenders.two.tick()
+        assert not (contenders.one.held and contenders.two.held)
 
 
-def test_a_released_lease_is_taken_at_once_and_leaves_no_former_holder(rivals):
-    rivals.one.release()
-    rivals.two.tick()
-    rivals.two.tick()
-    assert rivals.two.held
-    assert rivals.two.lease.former == ()
+def test_a_released_lease_is_taken_at_once_and_lists_no_former_holder(contenders):
+    contenders.one.release()
+    contenders.two.tick()
+    contenders.two.tick()
+    assert contenders.two.held
+    assert contenders.two.lease.former == ()
 
 
-def test_a_lease_that_ran_out_names_its_former_holder_until_it_steps_back(rivals):
-    rivals.two.tick()
-    rivals.pass_time(DURATION + MARGIN + 1, rivals.two)
-    assert [h.name for h in rivals.two.lease.former] == ["one"]
-    rivals.one.tick()
-    rivals.one.tick()
-    rivals.pass_time(DURATION, rivals.two)
-    assert rivals.two.held
-    assert rivals.two.lease.former == ()
+def test_an_expired_lease_lists_its_former_holder_until_that_one_resumes(contenders):
+    contenders.two.tick()
+    contenders.pass_time(DURATION + MARGIN + 1, contenders.two)
+    assert [h.name for h in contenders.two.lease.former] == ["one"]
+    contenders.one.tick()
+    contenders.one.tick()
+    contenders.pass_time(DURATION, contenders.two)
+    assert contenders.two.held
+    assert contenders.two.lease.former == ()
 
 
-def test_a_newer_run_of_the_holder_proves_the_older_one_dead(rivals):
-    later = rivals.make("one", 2)
+def test_a_later_incarnation_of_the_holder_proves_the_earlier_one_dead(contenders):
+    later = contenders.make("one", 2)
     later.tick()
     assert later.held
     assert later.lease.former == ()
     assert later.check() == 2
 
 
-def test_a_renewal_whose_answer_was_lost_is_found_to_stand(rivals):
-    rivals.api.lose = 1
-    rivals.pass_time(4, rivals.one)
-    assert rivals.one.held
-    assert rivals.one.check() == 1
+def test_a_renewal_whose_answer_was_lost_keeps_the_lease(contenders):
+    contenders.api.lose = 1
+    contenders.pass_time(4, contenders.one)
+    assert contenders.one.held
+    assert contenders.one.check() == 1
 
 
-def test_the_lease_runs_out_in_an_outage_and_goes_to_the_old_holder_after_it(rivals):
-    rivals.api.down = True
-    rivals.pass_time(20, rivals.one)
-    assert not rivals.one.held
-    rivals.api.down = False
-    rivals.one.tick()
-    assert rivals.one.held
-    assert rivals.one.check() == 2
+def test_the_lease_expires_in_an_outage_and_returns_to_its_holder_afterwards(contenders):
+    contenders.api.down = True
+    contenders.pass_time(20, contenders.one)
+    assert not contenders.one.held
+    contenders.api.down = False
+    contenders.one.tick()
+    assert contenders.one.held
+    assert contenders.one.check() == 2
 
 
-def test_numbers_of_orders_rise_over_terms_and_within_them():
+def test_fencing_numbers_increase_over_terms_and_within_them():
     numbers = [make_fence(1, 1), make_fence(1, 2), make_fence(2, 1), make_fence(3, 9)]
     assert numbers == sorted(set(numbers))
 
 
-def test_a_lost_write_takes_effect_once():
+def test_a_write_whose_answer_was_lost_takes_effect_once():
     api = FakeApi()
     api.lose = 1
     stored = write_once(api, LEASE, "x", {"a": 1}, 0)
@@ -127,18 +127,18 @@
     assert api.writes == 1
 
 
-def test_a_lost_write_behind_another_is_a_conflict():
+def test_a_write_with_an_outdated_version_is_a_conflict():
     api = FakeApi()
     write_once(api, LEASE, "x", {"a": 1}, 0)
     with pytest.raises(ConflictError):
         write_once(api, LEASE, "x", {"a": 2}, 0)
 
 
-def test_a_change_gives_up_after_losing_three_races():
+def test_an_update_fails_after_three_conflicts():
     api = FakeApi()
 
     def change(spec):
-        # Another writer comes first, each time.
+        # Another writer changes the object before each write.
         api.version += 1
         api.objects["k", "n"] = type(write_once(FakeApi(), "k", "n", {}, 0))(
             "k", "n", api.version, {"other": api.version}
--- a/tests/cover/test_returned_lease.py
+++ b/tests/cover/test_returned_lease.py
@@ -1,7 +1,7 @@
-"""The duties' lease where the store comes back from a copy: who may act, and under which token.
+"""The duty lease when the store is restored from a copy: one host at a time acts, tokens increase.
 
-Hosts, store and calls run in virtual time. What is sent arrives up to a second later; what is
-judged is what arrives, as engines and the platform see it.
+Hosts, store and calls run in virtual time. Calls arrive up to a second after they are sent, and the
+checks are made on arrivals, as engines and the platform see them.
 """
 
 import asyncio
@@ -18,13 +18,13 @@
 
 LEASE_SECONDS = 3.0
 TICK_SECONDS = 0.5
-# Seconds for which the oldest copy lies behind, and the longest absence of the store.
-OLDEST_COPY_SECONDS, LONGEST_AWAY_SECONDS = 10.0, 3.0
-PLAY_SECONDS = 60.0
+# Age of the oldest copy, and the longest outage of the store.
+OLDEST_COPY_SECONDS, MAX_OUTAGE_SECONDS = 10.0, 3.0
+RUN_SECONDS = 60.0
 
 
 class Site:
-    """Hosts that all want the lease, a store that goes away and comes back, and what arrives."""
+    """Hosts that contend for the lease, a store that is restored from copies, and arrived calls."""
 
     def __init__(self, seed, hosts=3):
         self.rng = random.Random(seed)
@@ -42,33 +42,33 @@
             self.copies = [*self.copies, self.stand_in.take_copy()][-20:]
             await asyncio.sleep(OLDEST_COPY_SECONDS / 20)
 
-    async def come_back(self):
-        """Go away for a moment, for all or for nobody to see, and come back from some copy."""
-        away = self.rng.choice((0.0, 0.1, self.rng.random() * LONGEST_AWAY_SECONDS))
-        if away:
-            self._set_way(self.rng.choice(("silent", "busy")))
-            await asyncio.sleep(away)
+    async def restore_store(self):
+        """Restore the store from a random copy, in some cases after an outage."""
+        outage = self.rng.choice((0.0, 0.1, self.rng.random() * MAX_OUTAGE_SECONDS))
+        if outage:
+            self._set_store_state(self.rng.choice(("silent", "busy")))
+            await asyncio.sleep(outage)
         self.stand_in.come_back(self.rng.choice(self.copies))
-        self._set_way("up")
+        self._set_store_state("up")
 
-    def _set_way(self, way):
+    def _set_store_state(self, state):
         for host in self.hosts:
-            host.store.set_way(way)
+            host.store.set_way(state)
 
-    async def play(self):
+    async def run(self):
         tasks = [asyncio.ensure_future(host.run()) for host in self.hosts]
         tasks.append(asyncio.ensure_future(self.keep_copies()))
-        tasks.append(asyncio.ensure_future(self.break_paths()))
-        end = asyncio.get_running_loop().time() + PLAY_SECONDS
+        tasks.append(asyncio.ensure_future(self.disconnect_hosts()))
+        end = asyncio.get_running_loop().time() + RUN_SECONDS
         while asyncio.get_running_loop().time() < end:
             await asyncio.sleep(self.rng.choice((0.3, 2.0, self.rng.random() * 15.0)))
-            await self.come_back()
+            await self.restore_store()
         await asyncio.sleep(12.0)
         for task in tasks:
             task.cancel()
 
-    async def break_paths(self):
-        """Cut one host off for a while, and another one after it."""
+    async def disconnect_hosts(self):
+        """Disconnect one host at a time from the store for a random time."""
         while True:
             await asyncio.sleep(self.rng.random() * 10.0)
             host = self.rng.choice(self.hosts)
@@ -78,25 +78,27 @@
 
 
 class Host:
-    """One host's part: it takes the lease where it can, writes down, and sends."""
+    """A host that acquires the lease if it can, records orders and sends them."""
 
     def __init__(self, name, site):
         self.name = name
         self.site = site
         self.store = DirectStore(site.stand_in)
-        self.keeper = DutyLeaseManager(self.store, "roles", name, 1, LEASE_SECONDS, skip_silently())
-        # A clock that runs a little slow or fast.
-        self.pace = 1.0 + 0.02 * (site.rng.random() - 0.5)
+        self.manager = DutyLeaseManager(
+            self.store, "roles", name, 1, LEASE_SECONDS, skip_silently()
+        )
+        # Speed of the host's clock.
+        self.clock_rate = 1.0 + 0.02 * (site.rng.random() - 0.5)
 
     async def run(self):
         rng = self.site.rng
         while True:
-            await asyncio.sleep(TICK_SECONDS * self.pace)
+            await asyncio.sleep(TICK_SECONDS * self.clock_rate)
             try:
-                if await self.keeper.campaign() and rng.random() < 0.4:
-                    _, until = await self.keeper.record("e1", rng.choice(("prefill", "decode")))
+                if await self.manager.campaign() and rng.random() < 0.4:
+                    _, until = await self.manager.record("e1", rng.choice(("prefill", "decode")))
                     await asyncio.sleep(rng.choice((0.0, 0.2, 0.45)))
-                    lease = self.keeper.lease
+                    lease = self.manager.lease
                     if lease is not None and asyncio.get_running_loop().time() <= until:
                         self.site.send(self.name, lease.token)
             except (LeaseLostError, PlatformUnavailableError):
@@ -104,31 +106,31 @@
 
 
 def find_faults(arrived):
-    """Return what engines and the platform would hold against calls that arrive so."""
+    """Return the violations that engines and the platform would see in the arrived calls."""
     faults = []
     holders = {}
     highest = 0
-    # Of each holder in turn: its name, and its latest act.
-    turns = []
+    # The successive holders: name and time of the last call.
+    terms = []
     for at, host, token in sorted(arrived):
         if holders.setdefault(token, host) != host:
             faults.append(f"{at:.2f}: {host} uses the token of {holders[token]}")
         if token < highest:
-            faults.append(f"{at:.2f}: {host} acts under a token that fell")
+            faults.append(f"{at:.2f}: {host} uses token {token} after token {highest}")
         highest = max(highest, token)
-        if turns and turns[-1][0] == host:
-            turns[-1] = (host, at)
+        if terms and terms[-1][0] == host:
+            terms[-1] = (host, at)
             continue
-        if len(turns) > 1 and turns[-2][0] == host and at - turns[-2][1] < LEASE_SECONDS:
-            faults.append(f"{at:.2f}: {host} and {turns[-1][0]} take turns")
-        turns.append((host, at))
+        if len(terms) > 1 and terms[-2][0] == host and at - terms[-2][1] < LEASE_SECONDS:
+            faults.append(f"{at:.2f}: {host} and {terms[-1][0]} act at the same time")
+        terms.append((host, at))
     return faults
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_one_host_at_a_time_acts_and_tokens_rise_over_all_returns(seed):
+def test_one_host_at_a_time_acts_and_tokens_increase_over_restores_of_the_store(seed):
     site = Site(seed)
-    run_in_virtual_time(site.play())
+    run_in_virtual_time(site.run())
     assert find_faults(site.arrived) == []
-    # The duties go on: every absence and every return is over after some seconds.
+    # Hosts act again after each outage and each restore.
     assert len(site.arrived) >= 10
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -1,8 +1,7 @@
-"""Starts of one instance, told apart by when each began.
+"""Incarnations of one instance, which are identified by their start times.
 
-An engine that was started again under its id was taken for the one before: parts of prompts that it
-was believed to keep were fetched from it, work that peers had told of stayed open there, and its
-count of orders went on. Each of these is ended by a later start, and comes back from nobody.
+A later incarnation must not inherit the state of an earlier one: its cached prompt parts, the open
+requests that peers reported, its role, or its count of orders.
 """
 
 import asyncio
@@ -25,7 +24,7 @@
 
 FIRST = UpstreamRecord("e", "s", ("10.0.0.1", 80), "a", 8, False, Role.PREFILL, born=1000)
 LATER = replace(FIRST, born=2000)
-PARTS = (PromptPart("m/p", 4000),)
+PROMPT_PARTS = (PromptPart("m/p", 4000),)
 
 
 @pytest.mark.parametrize(
@@ -39,20 +38,20 @@
         (replace(FIRST, instance="e@1", born=2), replace(FIRST, instance="e", born=2)),
     ],
 )
-def test_no_two_starts_share_a_name(one, other):
+def test_no_two_incarnations_share_a_name(one, other):
     assert one.start != other.start
 
 
-def test_an_instance_that_tells_no_start_goes_by_its_id():
+def test_an_instance_without_a_start_time_is_identified_by_its_id():
     assert replace(FIRST, born=0).start == "e"
 
 
-def believe_everything():
-    """Return a fleet in which all that can be believed of one start is."""
+def build_fleet_with_state():
+    """Return a fleet with state of every kind for one incarnation, and its instance."""
     fleet = Fleet()
     fleet.put(FIRST)
     start = FIRST.start
-    fleet.note_prompt(SentPrompt(start, PARTS, read=True))
+    fleet.note_prompt(SentPrompt(start, PROMPT_PARTS, read=True))
     fleet.note_peer("peer", {start: OpenWork(500, 2)}, now=0.0)
     fleet.note_ordered_role(start, Role.DECODE, ready_at=5.0)
     instance = fleet.instances[start]
@@ -62,35 +61,39 @@
     return fleet, instance
 
 
-def test_a_later_start_ends_all_that_was_believed_of_the_one_before():
-    fleet, former = believe_everything()
-    assert list_sources([former], PARTS, ())
+def test_a_later_incarnation_inherits_no_state_of_the_earlier_one():
+    fleet, former = build_fleet_with_state()
+    assert list_sources([former], PROMPT_PARTS, ())
     assert fleet.put(LATER)
-    now = fleet.find_start("e")
-    assert fleet.list_service("s") == [now]
-    assert (now.total, now.role, now.refused_until) == (NO_WORK, Role.PREFILL, float("-inf"))
-    assert now.cache.count(PARTS) == 0
+    current = fleet.find_start("e")
+    assert fleet.list_service("s") == [current]
+    assert (current.total, current.role, current.refused_until) == (
+        NO_WORK,
+        Role.PREFILL,
+        float("-inf"),
+    )
+    assert current.cache.count(PROMPT_PARTS) == 0
     assert former.replaced and former.leaving
-    assert not list_sources([former, now], PARTS, ())
+    assert not list_sources([former, current], PROMPT_PARTS, ())
 
 
-def test_words_of_the_former_start_change_nothing():
-    fleet, _ = believe_everything()
+def test_reports_on_an_earlier_incarnation_change_nothing():
+    fleet, _ = build_fleet_with_state()
     fleet.put(LATER)
-    now = fleet.find_start("e")
-    fleet.note_prompt(SentPrompt(FIRST.start, PARTS, read=True))
+    current = fleet.find_start("e")
+    fleet.note_prompt(SentPrompt(FIRST.start, PROMPT_PARTS, read=True))
     fleet.note_peer("peer", {FIRST.start: OpenWork(700, 3)}, now=1.0)
     fleet.note_ordered_role(FIRST.start, Role.DECODE, ready_at=6.0)
     roles = RoleOrders(fleet, lambda: 1.0)
     roles.take({FIRST.start: ("decode", 2.0)}, "peer")
     assert not fleet.put(replace(FIRST, leaving=True))
-    assert fleet.find_start("e") is now
-    assert (now.total, now.role, now.leaving) == (NO_WORK, Role.PREFILL, False)
-    assert now.cache.count(PARTS) == 0
+    assert fleet.find_start("e") is current
+    assert (current.total, current.role, current.leaving) == (NO_WORK, Role.PREFILL, False)
+    assert current.cache.count(PROMPT_PARTS) == 0
 
 
-def test_what_peers_open_at_the_later_start_counts_there():
-    fleet, _ = believe_everything()
+def test_open_requests_of_peers_at_the_later_incarnation_are_counted():
+    fleet, _ = build_fleet_with_state()
     fleet.put(LATER)
     fleet.note_peer("peer", {LATER.start: OpenWork(700, 3)}, now=1.0)
     assert fleet.find_start("e").peers == OpenWork(700, 3)
@@ -98,15 +101,15 @@
     assert fleet.find_start("e").peers == NO_WORK
 
 
-def test_an_instance_that_tells_no_start_keeps_what_is_believed_of_it():
+def test_an_instance_without_a_start_time_keeps_its_state():
     fleet = Fleet()
     fleet.put(replace(FIRST, born=0))
-    fleet.note_prompt(SentPrompt("e", PARTS, read=True))
+    fleet.note_prompt(SentPrompt("e", PROMPT_PARTS, read=True))
     fleet.put(replace(FIRST, born=0, slots=9))
-    assert fleet.find_start("e").cache.count(PARTS) == 4000
+    assert fleet.find_start("e").cache.count(PROMPT_PARTS) == 4000
 
 
-def test_a_withdrawn_instance_may_be_listed_again_with_any_start():
+def test_a_removed_instance_may_be_listed_again_with_any_start_time():
     fleet = Fleet()
     fleet.put(LATER)
     assert fleet.remove("e")
@@ -115,24 +118,24 @@
     assert fleet.knows("e")
 
 
-def test_what_a_former_start_still_holds_is_broken_off_once_its_last_bytes_had_their_time():
-    async def story():
+def test_open_streams_of_an_earlier_incarnation_are_aborted_after_a_delay_for_their_last_bytes():
+    async def work():
         fleet = Fleet()
         budgets = RetryBudgets(0.2, 10, 10)
-        parts = GatewayState("a", fleet, budgets, Metrics(), random.Random(1))
-        broken = []
-        parts.pool.abort_all = broken.append
+        state = GatewayState("a", fleet, budgets, Metrics(), random.Random(1))
+        aborted = []
+        state.pool.abort_all = aborted.append
         fleet.put(FIRST)
         fleet.put(LATER)
         await asyncio.sleep(0.2)
-        assert broken == []
+        assert aborted == []
         await asyncio.sleep(0.1)
-        assert broken == [FIRST.start]
+        assert aborted == [FIRST.start]
 
-    run_in_virtual_time(story())
+    run_in_virtual_time(work())
 
 
-def test_hosts_tell_each_other_of_starts():
+def test_listing_changes_between_hosts_include_start_times():
     changes = ListingChanges(
         StoreRevision(0, 1), StoreRevision(0, 2), 0.0, (FIRST, LATER), ("gone",)
     )
@@ -140,14 +143,16 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "known", "other"),
+    ("reported", "known", "other"),
     [(0, 0, False), (0, 5, False), (5, 0, False), (5, 5, False), (5, 6, True), (6, 5, True)],
 )
-def test_a_word_is_of_another_start_only_where_both_are_told(told, known, other):
-    assert is_other_incarnation(told, known) is other
+def test_a_report_is_of_another_incarnation_only_if_both_start_times_are_known(
+    reported, known, other
+):
+    assert is_other_incarnation(reported, known) is other
 
 
-def test_reports_and_lists_of_kept_parts_tell_the_start():
+def test_reports_and_lists_of_cached_parts_include_the_start_time():
     report = b'{"phase":"decode","seq":3,"born":1000}'
     assert (read_report(report).born, read_report(report).orders_taken) == (1000, 3)
     assert read_cached_parts(b'{"held":[["","p",7,"m"]],"born":1000}').born == 1000
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -1,9 +1,7 @@
-"""A machine that is suspended for seconds: the steady clock of its kernel does not count them.
+"""Suspension of the machine: all timers and ages use a clock that includes suspended time.
 
-A host that had recorded an order was suspended before it sent it, and by its own clock hardly any
-time had passed; another host had taken its lease and ordered otherwise meanwhile. All waits and
-ages go by one clock that counts suspended seconds, so that a suspended host finds its beliefs as
-old as they are, as one does that was stopped by a signal.
+Otherwise a host that was suspended between the record of an order and its sending would send it
+after another host has taken the lease.
 """
 
 import ast
@@ -28,7 +26,7 @@
 
 @pytest.fixture
 def suspension(monkeypatch):
-    """Return a function that has the machine suspended for some seconds."""
+    """Return a function that simulates a suspension of the machine for some seconds."""
     suspended = [0.0]
 
     def read(which):
@@ -42,7 +40,7 @@
     return suspend
 
 
-def test_the_clock_counts_suspended_seconds():
+def test_the_clock_includes_suspended_time():
     assert read_boottime_seconds() == pytest.approx(time.clock_gettime(time.CLOCK_BOOTTIME), abs=5)
     assert MonotonicClock().now() == pytest.approx(read_boottime_seconds(), abs=5)
 
@@ -50,17 +48,17 @@
 def test_a_timer_is_due_after_a_suspension_that_was_longer(suspension):
     async def work():
         loop = asyncio.get_running_loop()
-        due = []
-        loop.call_later(SUSPENDED_SECONDS, due.append, 1)
+        fired = []
+        loop.call_later(SUSPENDED_SECONDS, fired.append, 1)
         suspension(SUSPENDED_SECONDS)
         await asyncio.sleep(0.01)
-        return due
+        return fired
 
     assert run_in_loop(work()) == [1]
 
 
 def test_an_order_that_was_recorded_before_a_suspension_is_too_old_after_it(suspension):
-    class SuspendedInTheWrite:
+    class StoreSuspendedInWrite:
         epochs = StoreEpochs()
 
         async def get(self, kind, name):
@@ -72,20 +70,20 @@
             return StoredObject(kind, name, StoreRevision(0, 2), spec)
 
     async def work():
-        keeper = DutyLeaseManager(SuspendedInTheWrite(), "roles", "h1", 1, 1.0, skip_silently())
-        assert await keeper.campaign()
-        _, until = await keeper.record("e1", "decode")
+        manager = DutyLeaseManager(StoreSuspendedInWrite(), "roles", "h1", 1, 1.0, skip_silently())
+        assert await manager.campaign()
+        _, until = await manager.record("e1", "decode")
         return asyncio.get_running_loop().time() - until
 
-    late = run_in_loop(work())
-    assert late == pytest.approx(SUSPENDED_SECONDS - SEND_SECONDS, abs=1)
+    seconds_late = run_in_loop(work())
+    assert seconds_late == pytest.approx(SUSPENDED_SECONDS - SEND_SECONDS, abs=1)
 
 
-def test_nothing_asks_the_clock_that_stands_still():
-    asked = [
+def test_no_source_reads_a_clock_that_stops_during_suspension():
+    uses = [
         f"{path.relative_to(SOURCES)}:{node.lineno}"
         for path in SOURCES.rglob("*.py")
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Attribute) and node.attr in ("monotonic", "perf_counter")
     ]
-    assert asked == []
+    assert uses == []
--- a/tests/cover/test_usage.py
+++ b/tests/cover/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage: what is counted, gathered, written down once and reported exactly so."""
+"""Usage counts: windows, merging of hosts' counts, drafts, and records on the duty lease."""
 
 import pytest
 from hypothesis import given
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(
     ("at", "wanted"), [(50.0, 10), (54.999, 10), (55.0, 11), (1_767_225_600.0, 353_445_120)]
 )
-def test_a_window_is_a_span_of_true_time(at, wanted):
+def test_windows_divide_unix_time(at, wanted):
     assert find_window(at, SECONDS) == wanted
 
 
@@ -42,35 +42,35 @@
     ("counted", "written", "now", "wanted"),
     [
         ([10], [], END, []),
-        # Late counts come in first.
+        # A window is due only after the time for late counts.
         ([10], [], END + COLLECT_SECONDS - 0.1, []),
         ([10], [], END + COLLECT_SECONDS, [10]),
         ([8, 9, 10], [8], END + COLLECT_SECONDS, [9, 10]),
-        # A window without a request since the last report is reported too.
+        # Windows without requests after the last report are due too.
         ([], [8], END + COLLECT_SECONDS, [9, 10]),
         ([], [], END + COLLECT_SECONDS, []),
-        # What is long past is not taken any more.
+        # The platform accepts no reports of windows that ended long ago.
         ([1, 10], [], END + COLLECT_SECONDS, [10]),
         ([], [1], END + REPORT_DEADLINE_SECONDS, [11, 12, 13, 14, 15]),
     ],
 )
-def test_windows_are_due_once_their_counts_are_in(counted, written, now, wanted):
+def test_windows_are_due_after_the_time_for_late_counts(counted, written, now, wanted):
     reports = [RecordedUsage(window, {}) for window in written]
     assert list_due_windows(counted, reports, now, SECONDS) == wanted
 
 
-def test_what_was_not_acknowledged_is_sent_again():
+def test_unacknowledged_reports_are_sent_again():
     first, second = RecordedUsage(1, {"a": 1}, taken=True), RecordedUsage(2, {"a": 2})
     assert list_unacknowledged_reports([first, second]) == [second]
 
 
-def test_counts_rise_whatever_words_are_lost_doubled_or_late():
+def test_counts_are_correct_with_lost_repeated_or_late_messages():
     meter = UsageMeter("here 1")
     meter.note("club", 10)
     for counts in ({"club": 2}, {"club": 3, "liaison": 1}, {"club": 2}):
         meter.take(WindowCounts("there 1", 10, counts))
     assert meter.sum(10) == {"club": 4, "liaison": 1}
-    # Another start of the same host has counted other requests.
+    # Counts of another incarnation of the same host are added.
     meter.take(WindowCounts("there 2", 10, {"club": 5}))
     assert meter.sum(10) == {"club": 9, "liaison": 1}
     assert meter.list_own([9, 10]) == [WindowCounts("here 1", 10, {"club": 1})]
@@ -79,27 +79,27 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "draft", "wanted"),
+    ("reported", "draft", "wanted"),
     [
         ({"h1 1": 4}, None, 4),
-        # The hosts of the draft still tell: they have told at least what it holds.
+        # All sources of the draft still report, and their counts include the draft's.
         ({"h1 1": 4, "h2 1": 3}, (5, ("h1 1", "h2 1")), 7),
-        # All of them died; other starts count on.
+        # All sources of the draft are dead; other incarnations report.
         ({"h1 2": 4}, (5, ("h1 1", "h2 1")), 9),
         ({}, (5, ("h1 1",)), 5),
-        # Some of them died.
+        # One source of the draft is dead.
         ({"h1 1": 4, "h3 1": 2}, (5, ("h1 1", "h2 1")), 7),
     ],
 )
-def test_what_dead_hosts_counted_is_taken_from_the_draft(told, draft, wanted):
+def test_counts_of_dead_hosts_are_taken_from_the_draft(reported, draft, wanted):
     meter = UsageMeter("here 1")
-    for source, count in told.items():
+    for source, count in reported.items():
         meter.take(WindowCounts(source, 10, {"club": count}))
-    kept = UsageDraft(10, {"club": draft[0]}, draft[1]) if draft else None
-    assert meter.sum_with_draft(10, kept).get("club", 0) == wanted
+    stored = UsageDraft(10, {"club": draft[0]}, draft[1]) if draft else None
+    assert meter.sum_with_draft(10, stored).get("club", 0) == wanted
 
 
-def test_many_workspaces_go_in_several_datagrams():
+def test_counts_of_many_workspaces_are_split_into_several_datagrams():
     counts = {f"workspace-{number:03}": number + 1 for number in range(120)}
     parts = list(split_counts(WindowCounts("h1 1", 10, counts)))
     assert len(parts) == -(-120 // WORKSPACES_PER_PART)
@@ -111,7 +111,7 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_counts_or_are_refused(data):
+def test_arbitrary_bytes_are_parsed_as_counts_or_rejected(data):
     try:
         unpack_counts(data)
     except FrameError:
@@ -132,8 +132,8 @@
 
 def test_a_lease_is_read_as_it_was_written_also_by_an_earlier_version():
     assert read_duty_lease(LEASE.spec()) == LEASE
-    former = {"holder": "h", "incarnation": 1, "token": 2, "orders": []}
-    assert read_duty_lease(former) == DutyLease("h", 1, 2)
+    earlier = {"holder": "h", "incarnation": 1, "token": 2, "orders": []}
+    assert read_duty_lease(earlier) == DutyLease("h", 1, 2)
 
 
 @pytest.mark.parametrize(
@@ -149,12 +149,12 @@
         {"writes": -1},
     ],
 )
-def test_a_wrong_part_of_a_lease_is_refused(change):
+def test_an_invalid_part_of_a_lease_is_rejected(change):
     with pytest.raises(BadEntryError):
         read_duty_lease({**LEASE.spec(), **change})
 
 
-def test_a_report_takes_the_place_of_its_draft_and_the_oldest_ones_go():
+def test_a_report_replaces_its_draft_and_the_oldest_reports_are_dropped():
     lease = LEASE.with_usage(RecordedUsage(12, {"club": 4}))
     assert lease.drafts == ()
     for window in range(13, 13 + KEPT_REPORTS):
@@ -162,7 +162,7 @@
     assert [item.window for item in lease.usage] == list(range(13, 13 + KEPT_REPORTS))
 
 
-def test_an_order_takes_the_place_of_the_last_one_of_its_subject_and_kind():
+def test_an_order_replaces_the_last_one_of_its_service_zone_and_kind():
     lease = LEASE.with_capacity(RecordedCapacity("s", "a", False, 1, 29))
     lease = lease.with_capacity(RecordedCapacity("s", "a", True, 13, 29))
     assert [(item.reclaimable, item.count) for item in lease.capacity] == [(False, 1), (True, 13)]
