--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -1,4 +1,4 @@
-"""Configuration, discovery, peers, roles and stops of several gateways on one site."""
+"""Configuration, discovery, peers, roles and shutdown of several gateways on one site."""
 
 import asyncio
 
@@ -53,8 +53,8 @@
     assert not gateway(site).knows_instance("bad3")
 
 
-def leave(site, upstream, way):
-    """Have an upstream leave: by its own word, by its entry's end, or for another role."""
+def withdraw(site, upstream, way):
+    """Withdraw an upstream: by a draining state, by removal of its entry, or by another role."""
     if way == "draining":
         site.list_upstream(upstream, "draining")
     elif way == "unlisted":
@@ -66,45 +66,43 @@
 
 @pytest.mark.parametrize("way", ["draining", "unlisted", "role"])
 @on_site()
-async def test_an_engine_that_leaves_while_the_prompt_is_read_gets_no_tokens_to_make(site, way):
-    # Found in a hunt on blitzgeld-muc (DRAIN): the decoding engine said that it leaves 0.7 s
-    # before it was booked for a prompt whose reading took 1.5 s.
+async def test_an_engine_withdrawn_during_the_prefill_is_not_used_for_decoding(site, way):
     reader = site.upstreams["e0"]
     reader.hold.clear()
-    asked = asyncio.ensure_future(ask(address_of(site), "/chat/a", "c1", X_Token_Usage=LONG))
-    await wait_until(lambda: reader.arrivals, "reading")
+    request = asyncio.ensure_future(ask(address_of(site), "/chat/a", "c1", X_Token_Usage=LONG))
+    await wait_until(lambda: reader.arrivals, "prefill")
     instances = gateway(site).list_instances()
     booked = next(site.upstreams[name] for name in ("e1", "e2") if instances[name].own.requests)
-    leave(site, booked, way)
+    withdraw(site, booked, way)
 
-    def has_left():
+    def is_withdrawn():
         known = gateway(site).list_instances().get(booked.instance)
         return known is None or known.record.leaving or known.role is Role.PREFILL
 
-    await wait_until(has_left, "word of leaving")
+    await wait_until(is_withdrawn, "the withdrawal to be noticed")
     reader.hold.set()
-    answer = await asked
+    answer = await request
     assert (answer.status, answer.whole) == (200, True)
     assert booked.arrivals == []
 
 
 @pytest.mark.parametrize("way", ["draining", "unlisted"])
 @on_site()
-async def test_an_upstream_that_leaves_gets_no_new_request(site, way):
-    leaving = site.upstreams["s0"]
+async def test_a_withdrawn_upstream_gets_no_new_request(site, way):
+    withdrawn = site.upstreams["s0"]
     if way == "draining":
-        site.list_upstream(leaving, "draining")
+        site.list_upstream(withdrawn, "draining")
     else:
-        site.unlist_upstream(leaving)
+        site.unlist_upstream(withdrawn)
     await asyncio.sleep(1.9)
-    before = len(leaving.arrivals)
+    before = len(withdrawn.arrivals)
     for number in range(10):
         assert (await ask(address_of(site), "/goal/a", f"g{number}")).status == 200
-    assert len(leaving.arrivals) == before
+    assert len(withdrawn.arrivals) == before
 
 
 @on_site(gateways=2)
-async def test_an_outage_of_the_store_stops_no_request_and_forgets_no_upstream(site):
+async def test_an_outage_of_the_store_fails_no_request_and_removes_no_upstream(site):
     site.store.faults.down = True
     site.store.wake()
     await asyncio.sleep(1.5)
@@ -113,39 +111,38 @@
     site.unlist_upstream(site.upstreams["s0"])
     site.store.faults.down = False
     await asyncio.sleep(0.9)
-    # Upstreams that lapsed in the outage have a moment to come back.
+    # Upstreams whose entries expired in the outage have some time to be listed again.
     assert gateway(site).knows_instance("s0")
-    await wait_until(lambda: not gateway(site).knows_instance("s0"), "gone for good")
+    await wait_until(lambda: not gateway(site).knows_instance("s0"), "removed instance")
     assert gateway(site).knows_instance("s1")
 
 
 @on_site()
-async def test_history_that_was_forgotten_is_listed_anew(site):
+async def test_the_store_is_listed_again_after_its_history_was_truncated(site):
     site.unlist_upstream(site.upstreams["s0"])
     site.store.forget_history()
     await site.add_upstream(StandInUpstream("s9", "alerts", "hall-a"))
     await wait_until(lambda: gateway(site).knows_instance("s9"), "new instance")
-    await wait_until(lambda: not gateway(site).knows_instance("s0"), "gone instance")
+    await wait_until(lambda: not gateway(site).knows_instance("s0"), "removed instance")
 
 
 @on_site()
-async def test_after_a_cut_watch_the_store_is_read_and_not_only_watched_again(site):
-    # Found on esspa-live, trouble-2: the store had forgotten its history, took the watch that
-    # followed a cut one, and told it nothing for five seconds.
+async def test_after_an_interrupted_watch_the_store_is_listed_before_it_is_watched_again(site):
+    # A store without history may accept the new watch, but send none of the missed changes.
     site.store.faults.deaf_watches = True
     site.routes.append({**site.routes[2], "name": "added", "pathPrefix": "/added/"})
     version = site.declare()
-    leaving = site.upstreams["s0"]
-    site.unlist_upstream(leaving)
+    withdrawn = site.upstreams["s0"]
+    site.unlist_upstream(withdrawn)
     site.cut_store_connections()
     async with asyncio.timeout(2):
         while gateway(site).config_version != version:
             await asyncio.sleep(0.01)
-    await wait_until(lambda: not gateway(site).knows_instance("s0"), "gone instance")
+    await wait_until(lambda: not gateway(site).knows_instance("s0"), "removed instance")
 
 
 @on_site(gateways=2)
-async def test_a_gateway_that_starts_in_an_outage_serves_by_its_peers_configuration(site):
+async def test_a_gateway_that_starts_in_an_outage_uses_its_peers_configuration(site):
     site.store.faults.down = True
     site.store.wake()
     running = await site.add_gateway("late", 7)
@@ -155,7 +152,7 @@
 
 
 @on_site()
-async def test_a_gateway_that_knows_no_configuration_refuses_and_never_says_not_found(site):
+async def test_a_gateway_without_a_configuration_answers_503_and_never_404(site):
     site.store.faults.down = True
     site.gateways["g0"].task.cancel()
     running = await site.add_gateway("alone", 8)
@@ -178,16 +175,16 @@
         await wait_until(lambda n=name: len(gateway(site, n).live_hosts()) == 3, "three hosts")
     for upstream in site.upstreams.values():
         upstream.hold.clear()
-    asked = asyncio.ensure_future(ask(address_of(site), "/goal/a", "g1"))
-    await wait_until(lambda: gateway(site, "g1").count_peer_requests() == 1, "peer's work")
+    request = asyncio.ensure_future(ask(address_of(site), "/goal/a", "g1"))
+    await wait_until(lambda: gateway(site, "g1").count_peer_requests() == 1, "the peer's open work")
     for upstream in site.upstreams.values():
         upstream.hold.set()
-    assert (await asked).status == 200
-    await wait_until(lambda: gateway(site, "g1").count_peer_requests() == 0, "its end")
+    assert (await request).status == 200
+    await wait_until(lambda: gateway(site, "g1").count_peer_requests() == 0, "no open work")
 
 
 @on_site(gateways=2, engines=("decode",) * 6)
-async def test_engines_get_their_roles_by_one_holder_with_rising_fences(site):
+async def test_one_holder_orders_roles_with_fencing_tokens_and_records_its_orders(site):
     def roles():
         engines = [u for u in site.upstreams.values() if isinstance(u, StandInEngine)]
         return sorted(engine.role for engine in engines)
@@ -196,7 +193,7 @@
     orders = [order for u in site.upstreams.values() for order in getattr(u, "orders", ())]
     assert len(orders) == 4
     (holder,) = {order["holder"] for order in orders}
-    # Another machine of the same name would be another holder.
+    # The IP tells machines of the same name apart.
     assert holder in {f"{name}@{site.gateways[name].settings.ip}" for name in ("g0", "g1")}
     assert all(order["fenceToken"] >= 1 and "expectedRev" in order for order in orders)
     recorded = site.store.objects["swifttrestle-leases", "roles"]["spec"]["orders"]
@@ -204,7 +201,7 @@
 
 
 @on_site(gateways=2, engines=("decode",) * 3)
-async def test_a_new_holder_counts_the_orders_that_the_former_one_left_open(site):
+async def test_a_new_holder_does_not_repeat_open_orders_of_the_former_one(site):
     for upstream in site.upstreams.values():
         upstream.apply_orders = False
 
@@ -227,18 +224,17 @@
 
 
 @on_site(gateways=2)
-async def test_a_host_that_comes_back_with_an_earlier_clock_is_heard(site):
+async def test_a_host_that_restarts_with_an_earlier_clock_is_accepted_as_a_peer(site):
     await wait_until(lambda: len(gateway(site, "g1").live_hosts()) == 2, "two hosts")
     site.gateways["g0"].task.cancel()
-    await wait_until(lambda: gateway(site, "g1").live_hosts() == ["g1"], "its silence")
+    await wait_until(lambda: gateway(site, "g1").live_hosts() == ["g1"], "one host")
     await site.add_gateway("g0", 0, incarnation=1)
     await wait_until(lambda: len(gateway(site, "g1").live_hosts()) == 2, "two hosts again")
 
 
 @pytest.mark.parametrize("listed", [True, False])
 @on_site(engines=("prefill", "prefill", "prefill", "decode"))
-async def test_the_last_decoding_engine_is_replaced_by_one_that_can_be_reached(site, listed):
-    # Found on paharpath-routes, trouble-3: the planner asked one dead engine for four seconds.
+async def test_the_last_decoding_engine_is_replaced_by_a_reachable_one(site, listed):
     await wait_until(lambda: count_roles(site, "decode") == 2, "planned roles")
     lost = [u for u in site.upstreams.values() if getattr(u, "role", "") == "decode"]
     dead = next(u for u in site.upstreams.values() if getattr(u, "role", "") == "prefill")
@@ -263,8 +259,7 @@
 
 @on_site(gateways=2, engines=("prefill", "prefill", "prefill"))
 async def test_an_ordered_role_is_used_by_all_hosts_before_the_list_shows_it(site):
-    # Found on paharpath-routes, trouble-3: the store went away while an engine changed, and
-    # its record told the old role for five seconds more.
+    # While the store is unreachable, an engine's record shows the earlier role.
     for upstream in site.upstreams.values():
         upstream.on_role_change = None
     for name in ("g0", "g1"):
@@ -278,9 +273,7 @@
 
 @pytest.mark.parametrize("stage", ["prefill", "decode"])
 @on_site(engines=("prefill", "prefill", "decode", "decode"))
-async def test_an_engine_in_another_role_than_listed_is_left_alone_and_not_taken_as_gone(
-    site, stage
-):
+async def test_an_engine_in_another_role_than_listed_is_not_used_and_not_removed(site, stage):
     await wait_until(lambda: count_roles(site, "prefill") == 2, "planned roles")
     for upstream in site.upstreams.values():
         if getattr(upstream, "role", "") == stage:
@@ -311,7 +304,7 @@
 
 
 @on_site(gateways=2)
-async def test_a_planned_stop_cuts_no_request_and_says_not_ready_at_once(site):
+async def test_a_graceful_stop_interrupts_no_request_and_ends_readiness_at_once(site):
     for upstream in site.upstreams.values():
         upstream.hold.clear()
     caller = await RawCaller.connect(address_of(site))
@@ -328,18 +321,17 @@
     assert (answer.status, answer.headers["connection"]) == (200, "close")
     async with asyncio.timeout(10):
         await site.gateways["g0"].task
-    await wait_until(lambda: gateway(site, "g1").live_hosts() == ["g1"], "peer learned")
+    await wait_until(lambda: gateway(site, "g1").live_hosts() == ["g1"], "the peer's removal")
 
 
 @on_site()
-async def test_a_stopping_gateway_takes_no_request_that_may_outlast_it(site):
-    # Found by a hunt: a chat taken four seconds after the signal was cut by the end.
+async def test_a_stopping_gateway_accepts_no_request_that_may_outlast_it(site):
     site.routes[1]["timeoutMs"] = 15000
     site.declare()
     await wait_until(lambda: gateway(site).config_version == 6, "second version")
     caller = await RawCaller.connect(address_of(site))
-    held = site.upstreams["e1"], site.upstreams["e2"]
-    for upstream in held:
+    decoders = site.upstreams["e1"], site.upstreams["e2"]
+    for upstream in decoders:
         upstream.hold.clear()
     caller.send(write_request("/chat/a", "c0", X_Token_Usage=SHORT))
     await wait_until(lambda: count_runs(site, "c0") == 1, "open request")
@@ -348,21 +340,21 @@
     late = await ask(address_of(site), "/chat/a", "c1", X_Token_Usage=SHORT)
     assert (late.status, "retry-after" in late.headers) == (503, True)
     assert count_runs(site, "c1") == 0
-    for upstream in held:
+    for upstream in decoders:
         upstream.hold.set()
     assert (await caller.read_answer()).whole
 
 
 @on_site(engines=("prefill", "decode"))
-async def test_urgent_requests_keep_slots_that_longer_answers_do_not_get(site):
+async def test_some_slots_are_reserved_for_urgent_requests(site):
     site.upstreams["e1"].hold.clear()
-    asked = [
+    chats = [
         asyncio.ensure_future(ask(address_of(site), "/chat/a", f"c{n}", X_Token_Usage=SHORT))
         for n in range(12)
     ]
-    await wait_until(lambda: sum(task.done() for task in asked) >= 5, "refusals")
-    assert {task.result().status for task in asked if task.done()} == {503}
-    # Of eight slots chats get seven and verdicts eight: a verdict still goes.
+    await wait_until(lambda: sum(task.done() for task in chats) >= 5, "refusals")
+    assert {task.result().status for task in chats if task.done()} == {503}
+    # Chats may use seven of eight slots, verdicts all of them.
     urgent = asyncio.ensure_future(ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=SHORT))
     await wait_until(lambda: count_runs(site, "v1") == 1, "the urgent request at the engine")
     site.upstreams["e1"].hold.set()
@@ -400,9 +392,7 @@
 
 
 @on_site(gateways=3, engines=("prefill",) * 3 + ("decode",) * 2)
-async def test_planning_goes_on_where_its_holder_cannot_reach_the_store(site):
-    # Found on esspa-live-grown, quiet-1: the first host held the lease, was cut off from the
-    # store, and stayed the only candidate, so that no role changed for eight seconds.
+async def test_another_host_plans_roles_if_the_holder_cannot_reach_the_store(site):
     def holder():
         lease = site.store.objects.get(("swifttrestle-leases", "roles"))
         return lease["spec"]["holder"].partition("@")[0] if lease else ""
@@ -419,8 +409,8 @@
 
 
 @on_site(gateways=3)
-async def test_a_new_version_is_heard_of_although_all_connections_fell_silent(site):
-    # Watches of the configuration wait long, and one on a silent connection hears nothing.
+async def test_a_new_version_is_applied_although_no_open_connection_responds(site):
+    # A watch of the configuration waits for long, and gets no answer on a dead connection.
     await wait_until(lambda: len(gateway(site).live_hosts()) == 3, "peers")
     site.silence_connections()
     site.routes.append({**site.routes[2], "name": "added", "pathPrefix": "/added/"})
@@ -430,27 +420,27 @@
 
 
 @on_site()
-async def test_an_upstream_that_leaves_is_noticed_although_all_connections_fell_silent(site):
+async def test_a_removed_upstream_is_noticed_although_no_open_connection_responds(site):
     site.silence_connections()
     site.unlist_upstream(site.upstreams["s0"])
-    await wait_until(lambda: not gateway(site).knows_instance("s0"), "gone")
+    await wait_until(lambda: not gateway(site).knows_instance("s0"), "removed instance")
 
 
 @on_site(engines=("prefill", "decode", "decode"))
-async def test_a_host_that_starts_knows_what_engines_keep(site):
+async def test_a_host_that_starts_learns_which_prompts_engines_cache(site):
     site.upstreams["e0"].kept = {"aa": 4000}
     await site.add_gateway("g1", 1)
     await site.wait_ready("g1")
-    kept = (PromptPart("m/aa", 4000),)
+    cached = (PromptPart("m/aa", 4000),)
     await wait_until(
-        lambda: gateway(site, "g1").list_instances()["e0"].cache.count_read(kept) == 4000, "told"
+        lambda: gateway(site, "g1").list_instances()["e0"].cache.count_read(cached) == 4000,
+        "the engine's cached prompts",
     )
 
 
 @on_site()
-async def test_an_outage_between_two_looks_at_the_store_does_not_pause_planning(site):
-    # The test below failed twice beside other work: the store was lost and back between two
-    # looks, half a second apart, and the pause of a call that had failed meanwhile stayed.
+async def test_an_outage_between_two_ticks_does_not_leave_the_holder_in_backoff(site):
+    # The backoff of a failed call must end although no tick saw the store as unreachable.
     candidates = gateway(site)._gossip.candidates
     discovery = gateway(site)._discovery
     await wait_until(lambda: candidates.holds_duty_lease, "lease")
@@ -461,15 +451,16 @@
 
 
 @on_site()
-async def test_roles_are_planned_again_as_soon_as_the_store_is_back(site):
+async def test_roles_are_planned_again_as_soon_as_the_store_is_available(site):
     candidates = gateway(site)._gossip.candidates
     await wait_until(lambda: candidates.holds_duty_lease, "lease")
     site.store.faults.down = True
     site.store.wake()
     await wait_until(
-        lambda: candidates.store_unreachable and gateway(site)._discovery.store_unreachable, "lost"
+        lambda: candidates.store_unreachable and gateway(site)._discovery.store_unreachable,
+        "the outage to be noticed",
     )
-    # Its pause is renewed by each call that fails, so that it would last for seconds more.
+    # Each failed call extends the backoff.
     candidates.mark_store_unreachable(60.0)
     site.store.faults.down = False
     await wait_until(lambda: candidates.holds_duty_lease, "lease again")
--- a/tests/hosted/test_duties.py
+++ b/tests/hosted/test_duties.py
@@ -1,9 +1,4 @@
-"""Usage and capacity on a whole site: one host at a time reports and orders, by written words.
-
-A deployment asked for usage by windows of five seconds and for engines to be ordered; untouched,
-no window of a day was reported (0.200 of its worth), and 29 engines stood at the full price
-(0.191).
-"""
+"""Usage reports and scaling on a whole site, by one host at a time under the duty lease."""
 
 import asyncio
 import time
@@ -18,14 +13,14 @@
 from tests.common.http import ask
 from tests.hosted.sites import address_of, build_site, on_built
 
-WINDOW = 1
+WINDOW_SECONDS = 1
 
 
 async def build_duty_site(gateways=2, engines=0):
-    """Start a site with workspaces and duties, and so many lasting engines in each zone."""
+    """Start a site with workspaces, duties, and `engines` non-reclaimable engines in each zone."""
     site = await build_site(gateways=0, engines=())
     await site.start_duties()
-    site.bounds = {"reportWindowS": WINDOW}
+    site.bounds = {"reportWindowS": WINDOW_SECONDS}
     site.workspaces = [
         {"name": "club", "apiKeys": ["key-1"]},
         {"name": "liaison", "apiKeys": ["key-2"]},
@@ -44,7 +39,7 @@
 
 
 def on_duty_site(**build):
-    """Run an async test on a site with duties, and check that no call broke a rule."""
+    """Run an async test on a site with duties, and check that all duty calls were valid."""
     return on_built(lambda: build_duty_site(**build), check_calls)
 
 
@@ -80,29 +75,29 @@
 
 
 async def wait_for_holder(site):
-    def found():
+    def has_holder():
         return any(
             item.gateway._duties.lease.lease is not None
             for item in site.gateways.values()
             if not item.task.done()
         )
 
-    await wait_until(found, "a holder of the duties")
+    await wait_until(has_holder, "a holder of the duty lease")
     return find_holder(site)
 
 
 @on_duty_site()
-async def test_what_all_hosts_count_is_reported_once_for_each_window(site):
+async def test_the_sum_of_all_hosts_counts_is_reported_once_for_each_window(site):
     await send(site, 3, "g0")
     await send(site, 2, "g1")
     await send(site, 1, "g1", "key-2")
     await wait_for_usage(site, {"club": 5, "liaison": 1})
-    await asyncio.sleep(2 * WINDOW)
+    await asyncio.sleep(2 * WINDOW_SECONDS)
     assert sum_reported(site) == {"club": 5, "liaison": 1}
 
 
 @on_duty_site()
-async def test_a_report_whose_answer_is_lost_is_sent_again_as_it_was(site):
+async def test_a_report_whose_answer_is_lost_is_sent_again_unchanged(site):
     await wait_for_holder(site)
     site.duties.faults.lose_answers = 2
     await send(site, 3)
@@ -115,20 +110,20 @@
 
 
 @on_duty_site()
-async def test_a_platform_that_was_down_gets_the_reports_of_that_time(site):
+async def test_a_platform_that_was_down_receives_the_reports_of_the_outage(site):
     await wait_for_holder(site)
     site.duties.faults.down = True
     await send(site, 3)
-    await asyncio.sleep(4 * WINDOW)
+    await asyncio.sleep(4 * WINDOW_SECONDS)
     assert sum_reported(site) == {}
     site.duties.faults.down = False
     await wait_for_usage(site, {"club": 3})
 
 
-@pytest.mark.parametrize("lost", ["before it is written down", "after it was written down"])
+@pytest.mark.parametrize("lost", ["before it is recorded", "after it was recorded"])
 def test_the_loss_of_the_holder_loses_no_report(lost):
     @on_duty_site(gateways=3)
-    async def play(site):
+    async def run(site):
         holder = await wait_for_holder(site)
         others = [name for name in site.gateways if name != holder]
         site.duties.faults.down = lost.startswith("after")
@@ -136,30 +131,30 @@
         await send(site, 2, others[1], "key-2")
         if lost.startswith("after"):
             lease = site.gateways[holder].gateway._duties.lease
-            await wait_until(lambda: any(item.counts for item in lease.lease.usage), "written down")
+            await wait_until(lambda: any(item.counts for item in lease.lease.usage), "recorded")
         else:
-            # The other hosts have told their counts to those who would follow.
+            # By then the other hosts have sent their counts to the standbys.
             await asyncio.sleep(1.2)
         site.gateways[holder].task.cancel()
         site.duties.faults.down = False
         await wait_for_usage(site, {"club": 4, "liaison": 2})
 
-    play()
+    run()
 
 
 @on_duty_site()
-async def test_what_all_hosts_counted_outlives_them_in_the_store(site):
+async def test_drafts_in_the_store_keep_counts_when_all_hosts_are_lost(site):
     holder = await wait_for_holder(site)
-    # No window ends while its counts are only drafted: they are written down as they stand.
+    # The platform accepts no report before the counts are in the store.
     site.duties.faults.down = True
     await send(site, 4, holder)
     lease = site.gateways[holder].gateway._duties.lease
 
-    def is_kept():
+    def is_stored():
         held = lease.lease
         return held and any(item.counts for item in (*held.drafts, *held.usage))
 
-    await wait_until(is_kept, "kept in the store")
+    await wait_until(is_stored, "counts in the store")
     for running in site.gateways.values():
         running.task.cancel()
     site.duties.faults.down = False
@@ -168,79 +163,71 @@
 
 
 @on_duty_site(engines=3)
-async def test_lasting_engines_go_as_reclaimable_ones_serve_in_their_place(site):
-    least = [9]
+async def test_non_reclaimable_engines_are_released_once_reclaimable_ones_replace_them(site):
+    lowest_count = [9]
 
-    def settled():
+    def is_settled():
         lasting, reclaimable = count_kinds(site)
-        least[0] = min(least[0], lasting + reclaimable)
+        lowest_count[0] = min(lowest_count[0], lasting + reclaimable)
         return (lasting, reclaimable) == (3, 9)
 
-    # Nine stood; without any one zone's reclaimable engines nine are left.
-    await wait_until(settled, "three lasting and nine reclaimable engines")
-    assert least[0] >= 9
+    # The need is nine engines, also after the loss of any one zone's reclaimable ones.
+    await wait_until(is_settled, "three non-reclaimable and nine reclaimable engines")
+    assert lowest_count[0] >= 9
 
 
 @on_duty_site(engines=1)
-async def test_what_is_still_being_listed_is_not_taken_for_what_stands(site):
-    """A holder planned by the first 9 of 29 engines that were listed, and ordered all but 3 away.
-
-    Engines list themselves one after another; the service had 3 engines when its load came, for 10
-    seconds, and refused 8,171 of 17,847 arrivals.
-    """
+async def test_engines_are_released_only_after_all_running_ones_are_listed(site):
+    """Engines list themselves one by one; a plan by a part of the list would release too many."""
     await wait_for_holder(site)
     for number in range(1, 3):
         for zone in ("hall-a", "hall-b", "hall-c"):
             await asyncio.sleep(0.5)
             name = f"{zone}-{number}"
             await site.add_upstream(StandInEngine(name, "model", zone, "prefill"))
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled by all nine")
+    await wait_until(lambda: count_kinds(site) == (3, 9), "settled with the need of nine")
     first = next(call for call in site.duties.calls if "/scale" in call.subject)
     assert first.body["spot"] is True
 
 
 @on_duty_site(engines=2, gateways=3)
-async def test_a_holder_that_is_lost_while_the_list_grows_leaves_no_half_need(site):
-    """Orders that are made while the list still grows name what is listed by then.
-
-    Found on reading: the next holder would have taken that for the need, and given up all engines
-    that were listed later.
-    """
+async def test_a_holder_that_is_lost_while_the_list_grows_records_no_partial_need(site):
+    """With a partial need, the next holder would release engines that are listed later."""
     await wait_until(lambda: site.duties.calls, "the first order")
     holder = site.duties.calls[0].holder.partition("@")[0]
     site.gateways[holder].task.cancel()
     for zone in ("hall-a", "hall-b", "hall-c"):
         await site.add_upstream(StandInEngine(f"{zone}-2", "model", zone, "prefill"))
-    # Nine stood; the need of the first six would end with six reclaimable ones.
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled by all nine")
+    # The need is nine engines; the partial need of six would end with six reclaimable ones.
+    await wait_until(lambda: count_kinds(site) == (3, 9), "settled with the need of nine")
 
 
 @on_duty_site(engines=3)
-async def test_a_zone_that_is_reclaimed_is_ordered_again_until_it_can_be_had(site):
+async def test_a_reclaimed_zone_is_ordered_again_until_upstreams_are_available(site):
     await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
     site.duties.reclaim("hall-b", 0.3)
     await wait_until(lambda: count_kinds(site) == (3, 6), "reclaimed")
     calls = len(site.duties.calls)
     await asyncio.sleep(4.0)
-    # It is asked for some times, and nothing else changes meanwhile.
+    # The order is repeated some times, and no other order is sent.
     orders = [call for call in site.duties.calls[calls:] if call.subject != "/usage"]
     assert 1 <= len(orders) <= 5
     assert {call.subject for call in orders} == {"/scale model hall-b"}
     site.duties.faults.dry_zones.clear()
-    await wait_until(lambda: count_kinds(site) == (3, 9), "back")
+    await wait_until(lambda: count_kinds(site) == (3, 9), "available again")
 
 
 @on_duty_site(engines=3, gateways=3)
-async def test_a_new_holder_keeps_to_what_was_ordered(site):
+async def test_a_new_holder_keeps_the_orders_of_the_former_one(site):
     await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
     holder = find_holder(site)
     site.gateways[holder].task.cancel()
-    await wait_until(lambda: find_other(site, holder), "another holder")
+    await wait_until(lambda: has_other_holder(site, holder), "another holder")
     await asyncio.sleep(2.0)
     assert count_kinds(site) == (3, 9)
 
 
-def find_other(site, former):
+def has_other_holder(site, former):
     return any(
         item.gateway._duties.lease.lease is not None
         for name, item in site.gateways.items()
@@ -249,7 +236,7 @@
 
 
 @on_duty_site(engines=3)
-async def test_operators_see_what_stands_why_at_what_price_and_each_windows_usage(site):
+async def test_operators_see_engines_need_price_and_usage_of_each_window(site):
     await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
     await send(site, 2)
     await wait_for_usage(site, {"club": 2})
@@ -258,7 +245,7 @@
     answer = await ask(running.metrics_address, "/debug/state", "d1", method="GET")
     lines = list(describe_duties(orjson.loads(answer.body)["duties"]))
     assert lines[0] == "model: 9 needed without any one zone's reclaimable ones"
-    # One lasting one at 1.0 and three reclaimable ones at 0.15 of it.
+    # The price is that of one non-reclaimable engine at 1.0 and three reclaimable ones at 0.15.
     planned = "1 lasting of 1 planned, 3 reclaimable of 3 planned, 1.45 a second"
     assert f"  hall-a: {planned}" in lines
     assert "  club: 2" in lines
@@ -269,8 +256,8 @@
 
 
 @on_duty_site(gateways=0)
-async def test_an_engine_that_is_taken_away_while_it_comes_up_never_serves(site):
-    # The stand-in listed it as leaving before it had an address; a soak ended there.
+async def test_an_engine_that_is_reclaimed_while_it_starts_is_never_listed(site):
+    # The stand-in cannot list an engine that has no address yet.
     engine = StandInEngine("n1", "model", "hall-a", "prefill")
     engine.reclaimable = True
     site.upstreams["n1"] = engine
