--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -23,22 +23,21 @@
 from swifttrestle.platform.records import CONFIG_KIND, CONFIG_NAME, read_configuration
 from swifttrestle.platform.store import WATCH_SECONDS, ObjectStore
 
-# First and longest pause after a failed call, in seconds; a change must be in force within
-# two seconds of its acknowledgement once the store can be reached.
+# First and longest backoff after a failed call, in seconds.
 FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 0.5
-# Seconds of a watch for each live host: watches that end at different moments have some host
-# ask the store about each second, and the others hear of what it learns. A watch may wait on a
-# connection that has fallen silent, and all of a fleet's connections may do so at once.
+# Maximum length of a watch for each live host, in seconds. Watches that end at different times have
+# some host of the fleet call the store about once a second, even if all current connections have
+# become unresponsive; peers then receive new versions from that host.
 WATCH_SECONDS_PER_HOST = 1.0
-LEAST_WATCH_SECONDS = 2.0
-# Seconds between two looks at whether others still keep this host up to date.
+MIN_WATCH_SECONDS = 2.0
+# Seconds between checks of whether peers still keep this host up to date.
 FOLLOW_POLL_SECONDS = 0.1
-# Share of that below which no watch is, so that they do not all end together.
-LEAST_WATCH_SHARE = 0.3
+# Minimum length of a watch as a share of the maximum; the length is drawn at random between them.
+MIN_WATCH_SHARE = 0.3
 
 
 class ConfigurationWatcher:
-    """The version in force; it only rises."""
+    """Keeps the newest known version in force; its number only rises."""
 
     def __init__(
         self,
@@ -48,7 +47,7 @@
         count_hosts: Callable[[], int],
         skipped: SkippedEntries,
     ) -> None:
-        """Read from the store; `changed` is called after each change."""
+        """Watch `store`; `changed` is called after each change of the version in force."""
         self._count_hosts = count_hosts
         self._skipped = skipped
         self._store = store
@@ -56,35 +55,35 @@
         self._changed = changed
         self._revision = NO_REVISION
         self._failures = 0
-        # The call to the store that is under way.
+        # The call to the store that is in progress.
         self._call: asyncio.Future[None] | None = None
-        # The revision and version of the entry that was last read to prove the version in force.
-        self._confirmed: tuple[StoreRevision, int] = (NO_REVISION, 0)
+        # The revision and version of the entry that was last read to confirm freshness.
+        self._last_confirmed: tuple[StoreRevision, int] = (NO_REVISION, 0)
         self.table: RouteTable | None = None
         self.raw: Any = None
         self.freshness = ConfigurationFreshness(lambda: self.version)
-        # Tells whether others keep this host up to date, by words that are proved to be young.
-        self.follows: Callable[[], bool] = lambda: False
+        # Returns whether peers with fresh confirmations keep this host up to date.
+        self.relies_on_peers: Callable[[], bool] = lambda: False
 
     @property
     def version(self) -> int:
         """The version in force, 0 where none is known."""
         return self.table.configuration.version if self.table else 0
 
-    def take(self, raw: Any, source: str) -> bool:
+    def apply(self, raw: Any, source: str) -> bool:
         """Put a version in force if it is newer; return whether it was."""
         before = self.version
         try:
             self._read_version(raw, source)
         except BadEntryError:
-            # It was skipped and counted; the version in force holds.
+            # The entry was logged and counted; the version in force stays.
             return False
         return self.version > before
 
     def _read_version(self, raw: Any, source: str) -> int:
         """Put a version in force if it is newer; return its number.
 
-        Raises BadEntryError for one that cannot be read, after it was skipped.
+        Logs and counts a version that cannot be read, then raises BadEntryError.
         """
         began = read_boottime_seconds()
         try:
@@ -93,10 +92,12 @@
             self._skipped.skip(CONFIG_KIND, CONFIG_NAME, error, raw)
             raise
         if configuration.version > self.version:
-            self._put(configuration, raw, source, began)
+            self._put_in_force(configuration, raw, source, began)
         return configuration.version
 
-    def _put(self, configuration: Configuration, raw: Any, source: str, began: float) -> None:
+    def _put_in_force(
+        self, configuration: Configuration, raw: Any, source: str, began: float
+    ) -> None:
         before = self.version
         self.table = RouteTable(configuration)
         log_event(
@@ -114,51 +115,50 @@
         """Return the version in force for a peer, or None where none is known."""
         return ConfigurationCopy(self._revision, self.raw) if self.table else None
 
-    def take_copy(self, copy: ConfigurationCopy, source: str) -> None:
-        """Put a peer's copy in force if it is newer, and spare the link what it makes needless.
+    def apply_copy(self, copy: ConfigurationCopy, source: str) -> None:
+        """Put a peer's copy in force if it is newer, and cancel a read of the store it replaces.
 
-        Over 5 Mbit/s the store's own answer with 4,249 routes takes two seconds in which requests
-        wait behind it; a peer's copy has an eleventh of its bytes.
+        The store's uncompressed response would delay requests on a slow link.
         """
-        if not self.take(copy.raw, source) or copy.revision <= self._revision:
+        if not self.apply(copy.raw, source) or copy.revision <= self._revision:
             return
         if self._call is not None:
             self._revision = copy.revision
             self._call.cancel()
 
     def reload_after_restore(self) -> None:
-        """Read anew: the store came back from a copy, and a waiting watch may hear nothing."""
+        """Read again after a restore of the store, which a pending watch may not notice."""
         watching = self._revision != NO_REVISION
         self._revision = NO_REVISION
         if self._call is not None and watching:
             self._call.cancel()
 
     async def run(self) -> None:
-        """Read, then watch, for as long as the process lives."""
+        """Read, then watch, until cancelled."""
         while True:
             try:
-                await self._follow()
-                await self._ask_store()
+                await self._wait_while_peers_report()
+                await self._call_store()
             except HistoryGoneError:
                 log_event("configuration history gone", revision=str(self._revision))
                 self._revision = NO_REVISION
                 await asyncio.sleep(self._rng.random() * MAX_BACKOFF_SECONDS / 2)
             except PlatformUnavailableError as error:
-                await self._wait_out(error)
+                await self._back_off(error)
 
-    async def _follow(self) -> None:
-        """Ask nothing while others keep this host up to date; read anew after that.
+    async def _wait_while_peers_report(self) -> None:
+        """Make no calls while peers keep this host up to date; read again after that.
 
-        With each version all watches of a fleet end and begin again: 83 calls to the store each.
+        Otherwise each new version would end and restart the watches of all hosts at once.
         """
-        if not self.table or not self.follows():
+        if not self.table or not self.relies_on_peers():
             return
-        while self.follows():
+        while self.relies_on_peers():
             await asyncio.sleep(FOLLOW_POLL_SECONDS)
         self._revision = NO_REVISION
 
-    async def _ask_store(self) -> None:
-        """Make one call, unless a peer's copy makes it needless while it is under way."""
+    async def _call_store(self) -> None:
+        """Make one call, which is cancelled if a peer's copy makes it unnecessary."""
         call = self._read() if self._revision == NO_REVISION else self._watch()
         self._call = asyncio.ensure_future(call)
         try:
@@ -171,20 +171,20 @@
             self._call = None
 
     async def confirm(self) -> None:
-        """Prove by one read of the store which version is the newest.
+        """Confirm by one read of the store which version is the newest.
 
-        A watch proves nothing: one that was taken while the store forgets its history hears
-        nothing of what is changed meanwhile. Raises PlatformUnavailableError or NotFoundError
-        where there is no proof, and BadEntryError where the entry is none.
+        A watch is not sufficient: one that is accepted while the store drops its history misses
+        changes made meanwhile. Raises PlatformUnavailableError or NotFoundError where the entry
+        cannot be read, and BadEntryError where it is not a valid configuration.
         """
         asked_at = asyncio.get_running_loop().time()
-        self._note_proof(await self._store.get(CONFIG_KIND, CONFIG_NAME), asked_at)
+        self._note_confirmed(await self._store.get(CONFIG_KIND, CONFIG_NAME), asked_at)
 
-    def _note_proof(self, item: StoredObject, asked_at: float) -> None:
-        """Take over that an entry was the newest one at a time; one that is not taken is none."""
-        if item.revision != self._confirmed[0]:
-            self._confirmed = (item.revision, self._read_version(item.spec, "store"))
-        self.freshness.note(self._confirmed[1], asked_at)
+    def _note_confirmed(self, item: StoredObject, asked_at: float) -> None:
+        """Record that an entry was the newest one at a time; raise BadEntryError if invalid."""
+        if item.revision != self._last_confirmed[0]:
+            self._last_confirmed = (item.revision, self._read_version(item.spec, "store"))
+        self.freshness.note(self._last_confirmed[1], asked_at)
 
     async def _read(self) -> None:
         asked_at = asyncio.get_running_loop().time()
@@ -193,39 +193,39 @@
             if item.name == CONFIG_NAME:
                 self._note_listed(item, asked_at)
         for malformed in snapshot.malformed:
-            self._take_item(malformed)
+            self._apply_item(malformed)
         self._revision = snapshot.revision
 
     def _note_listed(self, item: StoredObject, asked_at: float) -> None:
         try:
-            self._note_proof(item, asked_at)
+            self._note_confirmed(item, asked_at)
         except BadEntryError:
-            # It was skipped and counted as it was taken; it proves nothing.
+            # The entry was logged and counted; it confirms nothing.
             return
 
     async def _watch(self) -> None:
-        seen = await self._store.watch(CONFIG_KIND, self._revision, self._choose_wait())
+        seen = await self._store.watch(CONFIG_KIND, self._revision, self._choose_watch_seconds())
         for change in seen.changes:
             if not change.removed:
-                self._take_item(change.item)
+                self._apply_item(change.item)
         self._revision = seen.revision
 
-    def _take_item(self, item: StoredObject | MalformedObject) -> None:
-        """Put the version of an entry in force; whatever else is there changes nothing."""
+    def _apply_item(self, item: StoredObject | MalformedObject) -> None:
+        """Put the version of a configuration entry in force; log malformed ones, ignore others."""
         if isinstance(item, MalformedObject):
             self._skipped.skip(item.kind, item.name, item.error, item.content)
         elif item.name == CONFIG_NAME:
-            self.take(item.spec, "store")
+            self.apply(item.spec, "store")
 
-    def _choose_wait(self) -> float:
-        """Return the seconds of the next watch."""
-        longest = WATCH_SECONDS_PER_HOST * self._count_hosts()
-        longest = min(WATCH_SECONDS, max(LEAST_WATCH_SECONDS, longest))
-        return longest * (LEAST_WATCH_SHARE + (1 - LEAST_WATCH_SHARE) * self._rng.random())
+    def _choose_watch_seconds(self) -> float:
+        """Return the length of the next watch in seconds."""
+        max_seconds = WATCH_SECONDS_PER_HOST * self._count_hosts()
+        max_seconds = min(WATCH_SECONDS, max(MIN_WATCH_SECONDS, max_seconds))
+        return max_seconds * (MIN_WATCH_SHARE + (1 - MIN_WATCH_SHARE) * self._rng.random())
 
-    async def _wait_out(self, error: PlatformUnavailableError) -> None:
-        # A watch after a cut one may be taken by a store that has forgotten what lay between,
-        # and then hear nothing: only a fresh read tells what is there.
+    async def _back_off(self, error: PlatformUnavailableError) -> None:
+        # After a broken watch the store may have dropped the history in between, and a new watch
+        # would miss it: read again.
         self._revision = NO_REVISION
         self._failures += 1
         if self._failures == 2:
--- a/src/swifttrestle/internal/coordination/exchange.py
+++ b/src/swifttrestle/internal/coordination/exchange.py
@@ -1,4 +1,4 @@
-"""Fetches a newer configuration from a peer, over a stream, since it can be a megabyte."""
+"""Transfers configuration versions between hosts over TCP, since they exceed a datagram."""
 
 import asyncio
 
@@ -8,37 +8,35 @@
 from swifttrestle.internal.protocol.copies import LARGEST_CONFIGURATION, pack_copy, unpack_copy
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
 
-# Seconds to wait for the store's own watch before a newer configuration is fetched elsewhere.
+# Seconds to wait for this host's own watch before a newer configuration is fetched from a peer.
 CONFIG_WAIT_SECONDS = 0.15
-# Seconds without progress after which a stream is given up: to connect, and from byte to byte.
-# With a bound for the whole, a version that takes a link longer never arrives.
-PROGRESS_SECONDS = 1.0
-# Seconds after which a fetch is given up all the same, so that a peer that sends a byte now and
-# then does not keep this host from asking another one: the largest version, uncompressed, takes
-# 6.7 s over 5 Mbit/s.
-FETCH_SECONDS = 10.0
-# Bytes that are read from a stream, or written to it, at a time.
-PIECE_BYTES = 64 * 1024
+# Timeout in seconds of connecting, and of each read or write. The whole transfer has a longer one,
+# so that slow links can complete it.
+IO_TIMEOUT_SECONDS = 1.0
+# Timeout in seconds of a whole fetch, so that a peer that sends single bytes does not keep this
+# host from trying another one.
+FETCH_TIMEOUT_SECONDS = 10.0
+# Bytes read from or written to a stream at a time.
+CHUNK_BYTES = 64 * 1024
 
-ASK_CONFIGURATION = b"configuration\n"
+CONFIGURATION_REQUEST = b"configuration\n"
 
 
 class ConfigurationExchange:
-    """This gateway's streams with peers; all hosts use the same port."""
+    """Serves and fetches configuration versions; all hosts use the same port."""
 
     def __init__(self, ip: str, port: int, configuration: ConfigurationWatcher) -> None:
-        """Give out, and bring up to date, what `configuration` keeps."""
+        """Serve what `configuration` holds, and update it from peers."""
         self._ip = ip
         self._port = port
         self._configuration = configuration
         self._server: asyncio.Server | None = None
         self._fetching: asyncio.Task[None] | None = None
-        # The packed copy of a version and of the revision that it was packed with: many hosts
-        # ask for the same one at once.
+        # The last packed copy with its version and revision, since many hosts request it at once.
         self._packed: tuple[int, StoreRevision, bytes] = (0, NO_REVISION, b"")
 
     async def open(self) -> None:
-        """Listen for peers that ask; raise OSError."""
+        """Listen for requests of peers; raise OSError."""
         self._server = await asyncio.start_server(self._serve, self._ip, self._port)
 
     def close(self) -> None:
@@ -47,7 +45,7 @@
             self._server.close()
 
     def fetch_later(self, host: str, ip: str, version: int) -> None:
-        """Fetch a version that a peer has, unless the store's watch brings it first."""
+        """Fetch a version from a peer, unless the watch of the store delivers it first."""
         if self._fetching is None or self._fetching.done():
             self._fetching = asyncio.ensure_future(self._fetch(host, ip, version))
 
@@ -58,34 +56,34 @@
             return
         content = bytearray()
         try:
-            async with asyncio.timeout(FETCH_SECONDS):
+            async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
                 await self._read_copy(ip, content)
-            self._configuration.take_copy(unpack_copy(bytes(content)), f"peer {host}")
+            self._configuration.apply_copy(unpack_copy(bytes(content)), f"peer {host}")
         except (OSError, TimeoutError, FrameError) as error:
             log_event(
                 "configuration not fetched", peer=host, reason=repr(error), bytes=len(content)
             )
 
     async def _read_copy(self, ip: str, content: bytearray) -> None:
-        """Read all that a peer answers into `content`."""
-        async with asyncio.timeout(PROGRESS_SECONDS):
+        """Read a peer's whole response into `content`."""
+        async with asyncio.timeout(IO_TIMEOUT_SECONDS):
             reader, writer = await asyncio.open_connection(ip, self._port)
         try:
-            writer.write(ASK_CONFIGURATION)
+            writer.write(CONFIGURATION_REQUEST)
             while len(content) <= LARGEST_CONFIGURATION:
-                async with asyncio.timeout(PROGRESS_SECONDS):
-                    piece = await reader.read(PIECE_BYTES)
-                if not piece:
+                async with asyncio.timeout(IO_TIMEOUT_SECONDS):
+                    chunk = await reader.read(CHUNK_BYTES)
+                if not chunk:
                     return
-                content += piece
+                content += chunk
         finally:
             writer.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(PROGRESS_SECONDS):
-                asked = await reader.readline()
-            if asked == ASK_CONFIGURATION:
+            async with asyncio.timeout(IO_TIMEOUT_SECONDS):
+                request = await reader.readline()
+            if request == CONFIGURATION_REQUEST:
                 await self._write_copy(writer)
         except (OSError, TimeoutError, ValueError) as error:
             log_event("peer stream ended", reason=repr(error))
@@ -95,9 +93,9 @@
 
     async def _write_copy(self, writer: asyncio.StreamWriter) -> None:
         content = self._pack()
-        for start in range(0, len(content), PIECE_BYTES):
-            writer.write(content[start : start + PIECE_BYTES])
-            async with asyncio.timeout(PROGRESS_SECONDS):
+        for start in range(0, len(content), CHUNK_BYTES):
+            writer.write(content[start : start + CHUNK_BYTES])
+            async with asyncio.timeout(IO_TIMEOUT_SECONDS):
                 await writer.drain()
 
     def _pack(self) -> bytes:
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -1,8 +1,8 @@
-"""Gateways tell each other who lives, what they have open, and the newest configuration.
+"""Exchanges liveness, open work and the newest configuration version between gateways.
 
-Reports are datagrams, sent when something changed and otherwise as heartbeats: in a small
-fleet to every peer, in a large one to the representatives of the own zone, which tell the
-others who lives (see `rosters`).
+Reports are datagrams, sent on changes and as periodic heartbeats. In a small fleet they go to
+every peer; in a large one to the zone aggregators (representatives) of the own zone, which
+distribute the live hosts (see `rosters`).
 """
 
 import asyncio
@@ -33,29 +33,28 @@
 
 # Seconds between heartbeats.
 HEARTBEAT_SECONDS = 0.5
-# Seconds for which a host that its zone's representatives told of needs no answer from those of
-# another zone: a little more than the longest pause between two heartbeats.
+# Seconds for which a host that its zone's aggregators reported needs no answer from aggregators of
+# another zone. Exceeds the maximum interval between heartbeats.
 REPRESENTED_SECONDS = 0.65
-# Least seconds between reports of open work, and the further time for each host that hears
-# them, so that the datagrams a second stay bounded as the number of hosts grows.
+# Minimum seconds between reports of open work, and the addition for each recipient, which bounds
+# the datagrams per second as the number of hosts grows.
 REPORT_SECONDS = 0.01
 REPORT_SECONDS_PER_PEER = 0.002
-# Seconds between two looks at what is to be told in a large fleet, at hosts that are no
-# schedulers: a fifth of a heartbeat.
+# Poll interval in seconds for changes to report, on hosts of a large fleet that are not schedulers.
 LARGE_REPORT_SECONDS = 0.1
-# Seconds after the start in which peers that are greeted answer, and for which their word on the
-# newest version counts: a little more than the longest pause between two heartbeats.
-MEET_SECONDS = 0.65
-# Peers that one heartbeat names, so that hosts find each other without the store.
+# Seconds after the start in which contacted peers answer, and for which their reports of the
+# newest version count. Exceeds the maximum interval between heartbeats.
+DISCOVERY_SECONDS = 0.65
+# Peers named in one heartbeat, so that hosts find each other without the store.
 NAMED_PEERS = 8
-# Prompts that one report tells of, some 60 bytes each.
-MOST_PROMPTS = 12
+# Prompts in one report; each takes about 60 bytes.
+MAX_PROMPTS = 12
 
 Work = dict[str, OpenWork]
 
 
 class Gossip:
-    """This gateway's part in the exchange."""
+    """Sends this gateway's reports and handles those of its peers."""
 
     def __init__(
         self,
@@ -69,7 +68,7 @@
         rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
-        """Prepare; `changed` is called when peers' work, or who lives, has changed."""
+        """Prepare; `changed` is called when peers' work or the live hosts have changed."""
         self._me = me
         self._incarnation = incarnation
         self._socket = socket
@@ -81,99 +80,106 @@
         self._peers = PeerTable(me)
         self._sent_prompts = sent_prompts
         self._demand = ZoneDemand(me, self._peers, demand)
-        self._rosters = Rosters(me, socket, self._peers, self._take_summary, self._now)
+        self._rosters = Rosters(me, socket, self._peers, self._handle_summary, self._now)
         self.candidates = RoleCandidates(me, self._peers, self._now)
         self.recipients = ReportRecipients(
-            me, self._peers, self.candidates, rng, self._now, lambda: self._rosters.reported_at
+            me,
+            self._peers,
+            self.candidates,
+            rng,
+            self._now,
+            lambda: self._rosters.aggregator_heard_at,
         )
-        self._ordered = RoleOrders(fleet, self._now)
+        self._role_orders = RoleOrders(fleet, self._now)
         self._live: frozenset[str] = frozenset()
-        # Open work as it was last told to anyone, and when to tell it again.
-        self._sent_work: Work = {}
-        self._report_at = 0.0
+        # Open work as last reported, and when the next report of it may be sent.
+        self._reported_work: Work = {}
+        self._next_report_at = 0.0
         # The configuration version of this host's last summary.
-        self._told_version = 0
+        self._reported_version = 0
         self._started_at = float("inf")
-        # The newest version that a peer has told of, and when.
-        self._newest_told = (0, float("-inf"))
-        # Tells for how many seconds the store has answered this host without a break.
+        # The newest version that a peer has reported, and when.
+        self._newest_reported = (0, float("-inf"))
+        # Returns for how many seconds the store has answered this host without interruption.
         self.count_store_seconds: Callable[[], float] = float
 
     async def start(self, seeds: list[str]) -> None:
-        """Listen on the internal port, for datagrams and for streams."""
-        self._socket.receive(DatagramKind.REPORT, self._take_report)
+        """Listen on the internal port for datagrams and TCP streams."""
+        self._socket.receive(DatagramKind.REPORT, self._handle_report)
         await self._socket.open()
         await self._exchange.open()
         self._started_at = self._now()
         self.add_seeds(seeds)
 
     def add_seeds(self, seeds: list[str]) -> None:
-        """Greet hosts by their IPs alone; their answers tell who they are."""
+        """Contact hosts of which only the IP is known; their answers identify them."""
         for ip in seeds:
             self._peers.add_seed(ip)
 
     def live_hosts(self) -> list[str]:
-        """Return this host and the peers heard of late, in order of name."""
+        """Return the names of this host and its live peers, sorted."""
         return [member.host for member in self.list_members()]
 
     def list_members(self) -> tuple[Member, ...]:
-        """Return this host and the peers heard of late, with their addresses and zones."""
+        """Return this host and its live peers, with their addresses and zones."""
         return self.recipients.list_members()
 
     def has_caught_up(self) -> bool:
-        """Return whether this host has met its peers, and no version of theirs is newer.
+        """Return whether this host has heard from its peers and none has a newer version.
 
-        The store alone does not tell the newest one: it may have come back from a copy.
+        The store alone is not sufficient, since it may have been restored from an older copy.
         """
         now = self._now()
-        version, reported_at = self._newest_told
-        met = len(self.live_hosts()) > 1 or now - self._started_at >= MEET_SECONDS
-        return met and (version <= self._configuration.version or now - reported_at >= MEET_SECONDS)
+        version, reported_at = self._newest_reported
+        has_met_peers = len(self.live_hosts()) > 1 or now - self._started_at >= DISCOVERY_SECONDS
+        return has_met_peers and (
+            version <= self._configuration.version or now - reported_at >= DISCOVERY_SECONDS
+        )
 
     def find_store_up_since(self) -> float:
-        """Return the loop's time since when the store has answered some peer, or infinity."""
+        """Return since when, in the loop's time, the store has answered a peer, or infinity."""
         return self._peers.find_store_up_since(self._now())
 
     async def register(self, store: ObjectStore, skipped: SkippedEntries) -> None:
-        """Leave this host's address in the store, and learn the others'; retried until done."""
+        """Write this host's address to the store and read those of others; retry until done."""
         await register_host(store, self._me, self._peers, self._rng, skipped)
 
     async def restore_registration(self, store: ObjectStore) -> None:
-        """Have this host's address stand in a store that came back from a copy."""
+        """Write this host's address again if a restored store lacks it."""
         await restore_registration(store, self._me, len(self.live_hosts()), self._rng)
 
     # Sending.
 
     async def run(self) -> None:
-        """Send reports for as long as the process lives."""
-        beat_at = 0.0
-        was_untold = False
+        """Send reports until cancelled."""
+        heartbeat_at = 0.0
+        was_orphaned = False
         while True:
             now = self._now()
-            untold = self.recipients.is_untold(now)
-            if now >= beat_at or (untold and not was_untold):
-                beat_at = now + HEARTBEAT_SECONDS * (0.9 + 0.2 * self._rng.random())
+            orphaned = self.recipients.is_orphaned(now)
+            if now >= heartbeat_at or (orphaned and not was_orphaned):
+                heartbeat_at = now + HEARTBEAT_SECONDS * (0.9 + 0.2 * self._rng.random())
                 self._expire(now)
-                self.recipients.find_schedulers(now)
-                self._beat(now)
+                self.recipients.refresh_schedulers(now)
+                self._send_heartbeat(now)
             else:
-                self._report(now)
-            was_untold = untold
-            await asyncio.sleep(self._find_pause())
+                self._send_changes(now)
+            was_orphaned = orphaned
+            await asyncio.sleep(self._find_interval())
 
     def announce_leaving(self) -> None:
-        """Tell all peers at once that this gateway stops."""
+        """Report to all peers that this gateway is stopping."""
         self.candidates.leaving = True
         self._send({}, self._peers.list_seen(self._now()))
 
     def mark_store_unreachable(self, seconds: float) -> None:
-        """Tell the peers that this host cannot reach the store, for so many seconds."""
+        """Report to all peers that this host cannot reach the store, for some seconds."""
         self.candidates.mark_store_unreachable(seconds)
         self._send(self._list_work(), self._peers.list_seen(self._now()))
 
     def note_order(self, engine: str, role: Role, ready_at: float) -> None:
-        """Tell all hosts of an order that an engine has taken; `ready_at` in the loop's time."""
-        self._ordered.note(engine, role, ready_at)
+        """Report an order that an engine has accepted; `ready_at` is in the loop's time."""
+        self._role_orders.note(engine, role, ready_at)
         self._send(self._list_work(), self._peers.list_seen(self._now()))
 
     def close(self) -> None:
@@ -181,33 +187,35 @@
         self._socket.close()
         self._exchange.close()
 
-    def _find_pause(self) -> float:
-        """Return the seconds between two looks at what is to be told."""
+    def _find_interval(self) -> float:
+        """Return the seconds until the next poll for changes to report."""
         if self.recipients.is_large_fleet() and not self.recipients.schedules:
             return LARGE_REPORT_SECONDS
         schedules = self.recipients.schedules
         recipients = self.recipients.count_schedulers() if schedules else len(self._peers.peers)
         return REPORT_SECONDS + REPORT_SECONDS_PER_PEER * recipients
 
-    def _beat(self, now: float) -> None:
-        """Send a heartbeat: to all, or in a large fleet to those who tell the others."""
+    def _send_heartbeat(self, now: float) -> None:
+        """Send a heartbeat to all peers, or in a large fleet to the chosen recipients."""
         work = self._list_work()
         if not self.recipients.is_large_fleet():
             self._note_sent(work)
             self._send(work, self._peers.peers.values(), with_known=True)
             return
         self._rosters.expire()
-        recipients = self.recipients.list_for_heartbeat(now, told=bool(work or self._sent_work))
+        recipients = self.recipients.list_for_heartbeat(
+            now, has_work=bool(work or self._reported_work)
+        )
         self._note_sent(work)
         self._send(work, recipients)
-        self._send(work, self.recipients.choose_greeted(now), with_known=True)
+        self._send(work, self.recipients.choose_silent(now), with_known=True)
         if self.recipients.is_representative():
             self._rosters.send(self._make_summary(), self.recipients.list_for_summary())
 
-    def _report(self, now: float) -> None:
-        """Tell of changes between two heartbeats."""
+    def _send_changes(self, now: float) -> None:
+        """Report changes between two heartbeats."""
         work = self._list_work()
-        if now >= self._report_at and work != self._sent_work:
+        if now >= self._next_report_at and work != self._reported_work:
             large = self.recipients.is_large_fleet()
             self._note_sent(work)
             recipients = (
@@ -215,18 +223,18 @@
             )
             self._send(work, recipients)
         if self.recipients.is_large_fleet() and self.recipients.is_representative():
-            marks = (self._rosters.refresh_own(), *self._rosters.list_strays())
-            # A version is told at once: on a thin link a copy that begins 0.4 s later finds the
-            # store's own answer, eleven times as long, under way.
-            newer = self._configuration.version > self._told_version
-            if newer or self._rosters.is_news(marks):
+            confirmations = (self._rosters.refresh_own(), *self._rosters.list_orphaned())
+            # A new version is reported immediately, so that peers fetch the compressed copy before
+            # their own, much longer read of the store begins.
+            newer = self._configuration.version > self._reported_version
+            if newer or self._rosters.has_changed(confirmations):
                 self._rosters.send(self._make_summary(), self.recipients.list_for_summary())
 
     def _list_work(self) -> Work:
-        """Return what is open here as far as others use it.
+        """Return this host's open work as far as peers use it.
 
-        In a large fleet the schedulers count what is open at the engines; all other work is
-        over before a report of it could be used.
+        In a large fleet that is the work of engines alone, which the schedulers count; other work
+        ends before a report of it could be used.
         """
         work = self._fleet.own_work()
         if not self.recipients.is_large_fleet():
@@ -234,11 +242,11 @@
         return {name: item for name, item in work.items() if self._fleet.is_engine(name)}
 
     def _note_sent(self, work: Work) -> None:
-        self._sent_work = work
-        self._report_at = self._now() + self._find_pause()
+        self._reported_work = work
+        self._next_report_at = self._now() + self._find_interval()
 
     def _make_summary(self) -> RosterSummary:
-        self._told_version = self._configuration.version
+        self._reported_version = self._configuration.version
         own = self._rosters.refresh_own()
         return RosterSummary(
             self._me.host,
@@ -249,9 +257,9 @@
             self.candidates.store_unreachable,
             self.candidates.find_holder(self._me.zone),
             own,
-            (*self._rosters.list_strays(), *self._rosters.list_others(own)),
+            (*self._rosters.list_orphaned(), *self._rosters.list_others(own)),
             self._demand.sum_own_zone(self._now()),
-            self._ordered.list_recent(),
+            self._role_orders.list_recent(),
         )
 
     def _send(self, work: Work, peers: Iterable[Peer], with_known: bool = False) -> None:
@@ -269,30 +277,30 @@
                 self.count_store_seconds(),
                 {name: (item.tokens, item.requests) for name, item in work.items()},
                 self._demand.list_own(self._now()),
-                self._ordered.list_recent(),
-                self._sample_known() if with_known else (),
-                self._take_prompts(),
+                self._role_orders.list_recent(),
+                self._sample_peers() if with_known else (),
+                self._pop_prompts(),
             )
         )
         for peer in peers:
             self._socket.send(peer.ip, DatagramKind.REPORT, data)
 
-    def _take_prompts(self) -> tuple[SentPrompt, ...]:
-        """Return prompts to tell of; in a large fleet schedulers know what they have booked."""
-        waiting = self._sent_prompts
+    def _pop_prompts(self) -> tuple[SentPrompt, ...]:
+        """Return the prompts to report; none in a large fleet, where schedulers track them."""
+        pending = self._sent_prompts
         if self.recipients.is_large_fleet():
-            waiting.clear()
-        return tuple(waiting.popleft() for _ in range(min(MOST_PROMPTS, len(waiting))))
+            pending.clear()
+        return tuple(pending.popleft() for _ in range(min(MAX_PROMPTS, len(pending))))
 
-    def _sample_known(self) -> tuple[tuple[str, str], ...]:
+    def _sample_peers(self) -> tuple[tuple[str, str], ...]:
         seen = self._peers.list_seen(self._now())
         sample = self._rng.sample(seen, min(NAMED_PEERS, len(seen)))
         return tuple((peer.host, peer.ip) for peer in sample)
 
     # Receiving.
 
-    def _take_report(self, data: bytes, _: str) -> None:
-        """Take a peer's report over; raise FrameError."""
+    def _handle_report(self, data: bytes, _: str) -> None:
+        """Handle a peer's report; raise FrameError."""
         report = unpack_report(data)
         if report.host == self._me.host:
             return
@@ -312,62 +320,62 @@
         self._demand.update_host(report.host, report.demand)
         for prompt in report.prompts:
             self._fleet.note_prompt(prompt)
-        self._ordered.take(report.roles, report.host)
+        self._role_orders.take(report.roles, report.host)
         for host, ip in report.known:
             self._peers.add_peer(host, ip)
-        self._take_version(report.host, report.ip, report.config_version)
+        self._handle_version(report.host, report.ip, report.config_version)
         if self.recipients.is_large_fleet():
-            self._answer_stranger(report, joined)
+            self._answer_orphaned(report, joined)
         self._changed()
 
-    def _answer_stranger(self, report: PeerReport, joined: bool) -> None:
-        """Help a host that speaks to this one for want of others."""
+    def _answer_orphaned(self, report: PeerReport, joined: bool) -> None:
+        """Answer a host that reports to this one because its zone has no aggregator."""
         if report.zone != self._me.zone and self.recipients.is_representative():
             if self._now() - self._peers.peers[report.host].reported_at < REPRESENTED_SECONDS:
-                # Its zone tells of it: it reports to a scheduler, or spoke to all.
+                # Its own zone reports it: it sent this to a scheduler, or to all hosts.
                 return
-            self._rosters.answer(self._make_summary(), report.ip)
+            self._rosters.send_to(self._make_summary(), report.ip)
         elif joined:
-            # It may know nobody else yet.
+            # It may know no other host yet.
             self._send(
                 self._list_work(), self.recipients.list_named([report.host]), with_known=True
             )
 
-    def _take_summary(self, summary: RosterSummary, ip: str) -> None:
-        """Take over what a representative says besides who lives."""
+    def _handle_summary(self, summary: RosterSummary, ip: str) -> None:
+        """Handle the parts of an aggregator's summary that are not about live hosts."""
         now = self._now()
         member = Member(summary.host, ip, summary.zone, summary.link_mbps)
         holds = summary.role_holder == summary.host
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             member,
             summary.incarnation,
             holds_duty_lease=holds,
             store_unreachable=summary.store_unreachable,
         )
-        self._note_heard(beat)
+        self._note_heard(heartbeat)
         for holder in self.recipients.list_named([summary.role_holder]):
             holder.held_duty_lease_at = now
         if summary.zone == self._me.zone and self.recipients.is_representative():
             self._demand.drop_zone(summary.zone)
         else:
             self._demand.update_zone(summary.zone, summary.demand, now)
-        self._ordered.take(summary.roles, summary.host)
-        self._take_version(summary.host, ip, summary.config_version)
+        self._role_orders.take(summary.roles, summary.host)
+        self._handle_version(summary.host, ip, summary.config_version)
 
-    def _note_heard(self, beat: Heartbeat) -> bool:
-        joined = self._peers.note_heard(beat, self._now())
-        if joined or beat.leaving:
+    def _note_heard(self, heartbeat: Heartbeat) -> bool:
+        joined = self._peers.note_heard(heartbeat, self._now())
+        if joined or heartbeat.leaving:
             self._log_live()
         return joined
 
-    def _take_version(self, host: str, ip: str, version: int) -> None:
-        if version >= self._newest_told[0]:
-            self._newest_told = (version, self._now())
+    def _handle_version(self, host: str, ip: str, version: int) -> None:
+        if version >= self._newest_reported[0]:
+            self._newest_reported = (version, self._now())
         if version > self._configuration.version:
             self._exchange.fetch_later(host, ip, version)
 
     def fetch_later(self, host: str, ip: str, version: int) -> None:
-        """Fetch a version that a peer has, unless the store's watch brings it first."""
+        """Fetch a version from a peer, unless the watch of the store delivers it first."""
         self._exchange.fetch_later(host, ip, version)
 
     def _expire(self, now: float) -> None:
--- a/src/swifttrestle/internal/coordination/hosts.py
+++ b/src/swifttrestle/internal/coordination/hosts.py
@@ -1,4 +1,4 @@
-"""Which hosts are proved gone."""
+"""Determines which hosts are gone, from the platform's host list."""
 
 import threading
 
@@ -8,15 +8,15 @@
 
 
 class HostTracker:
-    """Hosts that are missing from the host list for longer than it lags.
+    """Tracks how long hosts have been missing from the host list.
 
-    The lag bounds how late a new host appears as well as how late a gone one disappears, so
-    a host that was never seen is proved gone by the same time without it. Time in which the
-    list could not be read, or was empty, proves nothing.
+    A host that is missing for longer than the list lags is gone. The lag bounds both how late a new
+    host appears and how late a gone one disappears, so this also holds for hosts that were never
+    listed. Time in which the list is unavailable or empty does not count.
     """
 
     def __init__(self, hosts: HostList, clock: Clock, lag: float) -> None:
-        """Read from a host list that lags by so many seconds."""
+        """Read from `hosts`, which lags by up to `lag` seconds."""
         self._hosts = hosts
         self._clock = clock
         self._lag = lag
@@ -25,7 +25,7 @@
         self._missing_since: dict[str, float] = {}
 
     def refresh(self) -> None:
-        """Read the list."""
+        """Read the host list."""
         try:
             listed = frozenset(record.name for record in self._hosts.read_hosts())
         except PlatformUnavailableError:
@@ -38,7 +38,7 @@
             self._listed = listed
 
     def is_gone(self, host: str) -> bool:
-        """Return whether the host is proved gone; the first question starts its time."""
+        """Return whether the host is gone; the first call for an unlisted host starts its time."""
         with self._lock:
             if not self._listed or host in self._listed:
                 return False
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -1,8 +1,8 @@
-"""Who the other processes are, and one stream to each peer.
+"""Tracks the other processes and keeps streams to peers.
 
 The platform holds a Member object for each process, written at its start and deleted at
-its planned stop. Peers hear each other by heartbeats: at once on a change, otherwise at a
-steady pace. A process that is behind on configuration pulls it from whoever is ahead.
+its planned stop. Peers exchange heartbeats: immediately on a change, otherwise periodically.
+A process with outdated configuration pulls newer shards from peers that have them.
 """
 
 import contextlib
@@ -42,15 +42,15 @@
 from swifttrestle.internal.transport.streams import PeerStream, accept_stream, connect_stream
 
 MEMBER = "Member"
-RING_SIZE = 3
+RING_SUCCESSORS = 3
 SILENT_HEARTBEATS = 5
 LISTEN_BACKLOG = 64
-FIRST_REDIAL, LONGEST_REDIAL = 0.2, 3.0
+FIRST_REDIAL_SECONDS, MAX_REDIAL_SECONDS = 0.2, 3.0
 
 
 @dataclass(frozen=True)
 class PeerView:
-    """What a peer was last heard to know; `heard_at` is local monotonic time."""
+    """The state that a peer last reported; `heard_at` is local monotonic time."""
 
     identity: Identity
     epochs: dict[str, int]
@@ -60,15 +60,15 @@
 
 
 class OpenRequestCounter:
-    """Counts this process's open requests on an upstream; the entry has its own."""
+    """Counts this process's open requests on an upstream; entries override it."""
 
     def count_open(self, upstream: str) -> int:
-        """Return the open requests; a process that takes none has none."""
+        """Return the number of open requests; 0 in a process that serves none."""
         return 0
 
 
 class Membership:
-    """All streams to and from peers, and what was heard on them."""
+    """All streams to and from peers, and the state that peers report on them."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         heartbeat: float,
         seeds: tuple[str, ...],
     ) -> None:
-        """Prepare; `start` listens and dials. `heartbeat` is in seconds."""
+        """Prepare; `start` listens and dials. `heartbeat` is the interval in seconds."""
         self.identity = identity
         self._secret = secret
         self._api = api
@@ -100,8 +100,8 @@
         self._lock = threading.Lock()
         self._views: dict[str, PeerView] = {}
         self._dialing: set[str] = set()
-        self._news = threading.Condition()
-        self._news_count = 0
+        self._announcements = threading.Condition()
+        self._announcement_count = 0
         self._stopped = threading.Event()
         self.leaving = False
         self.registered = threading.Event()
@@ -109,37 +109,37 @@
         closings.subscribe(self.announce)
 
     def start(self, listener: socket.socket) -> None:
-        """Accept, dial and register, each in threads of its own."""
-        for work, arg in ((self._accept, listener), (self._dial_all, None)):
-            threading.Thread(target=work, args=(arg,), daemon=True).start()
+        """Start the threads that accept streams, dial peers and register this process."""
+        for target, arg in ((self._accept, listener), (self._dial_all, None)):
+            threading.Thread(target=target, args=(arg,), daemon=True).start()
 
     def announce(self) -> None:
         """Send a heartbeat to every peer now."""
-        with self._news:
-            self._news_count += 1
-            self._news.notify_all()
+        with self._announcements:
+            self._announcement_count += 1
+            self._announcements.notify_all()
 
     def view(self, name: str) -> PeerView | None:
-        """Return what a peer was last heard to know, if it is not silent now."""
+        """Return the state that a peer last reported, or None if it is unknown or silent."""
         with self._lock:
             found = self._views.get(name)
-        if found is None or self._clock.now() - found.heard_at > self.silence:
+        if found is None or self._clock.now() - found.heard_at > self.silence_timeout:
             return None
         return found
 
     @property
-    def silence(self) -> float:
+    def silence_timeout(self) -> float:
         """Seconds without a heartbeat after which a peer counts as silent."""
         return self._heartbeat * SILENT_HEARTBEATS
 
     def heard(self) -> list[PeerView]:
-        """Return the views of all peers that are not silent."""
+        """Return the last reported state of all peers that are not silent."""
         with self._lock:
             names = list(self._views)
         return [view for name in names if (view := self.view(name))]
 
     def members(self, role: str) -> dict[str, Identity]:
-        """Return all processes of a role that are registered or heard, by name."""
+        """Return all processes of a role that are registered or heard from, by name."""
         found = {}
         for stored in self._cache.all(MEMBER):
             identity = read_member(stored)
@@ -153,7 +153,7 @@
         return found
 
     def stop(self) -> None:
-        """Tell the peers that this process will not act again, and withdraw its object."""
+        """Report to the peers that this process is stopping, and delete its Member object."""
         self.leaving = True
         self.announce()
         try:
@@ -161,12 +161,12 @@
             if stored and stored.spec.get("incarnation") == self.identity.incarnation:
                 self._api.delete(MEMBER, self.identity.name, stored.version)
         except (PlatformUnavailableError, ConflictError):
-            log_warning("member object left behind")
+            log_warning("member object not deleted")
         self._stopped.set()
         self.announce()
 
     def delete_gone_members(self, is_gone: Callable[[str], bool]) -> None:
-        """Delete the objects of silent processes whose hosts are proved gone."""
+        """Delete the Member objects of silent processes whose hosts are gone."""
         for stored in self._cache.all(MEMBER):
             identity = read_member(stored)
             if identity is None or self.view(identity.name) or identity == self.identity:
@@ -175,19 +175,19 @@
                 continue
             with contextlib.suppress(PlatformUnavailableError, ConflictError, NotFoundError):
                 self._api.delete(MEMBER, stored.name, stored.version)
-                log_info("member cleared away", member=stored.name, host=identity.host)
+                log_info("member object deleted", member=stored.name, host=identity.host)
 
-    # Registration: before anything of the plans is read, so that a planner that writes its
-    # order first and lists the members second cannot miss a process that misses the order.
+    # A process registers before it reads any plan. A planner writes its order before it lists the
+    # members, so it cannot miss a process that has not seen the order.
 
     def register_once(self) -> bool:
-        """Write the Member object; return whether it stands."""
+        """Write the Member object; return whether that succeeded."""
 
-        def write_mine(_: object) -> dict:
+        def write_identity(_: object) -> dict:
             return {**vars(self.identity)}
 
         try:
-            update_object(self._api, MEMBER, self.identity.name, write_mine)
+            update_object(self._api, MEMBER, self.identity.name, write_identity)
         except (PlatformUnavailableError, ConflictError):
             return False
         self.registered.set()
@@ -206,7 +206,7 @@
             self._stopped.wait(self._heartbeat)
 
     def _choose_peers(self) -> set[str]:
-        """Return the addresses to dial: all entries for a controller, a few for an entry."""
+        """Return the addresses to dial: all entries for a controller, some for an entry."""
         entries = self.members(ENTRY)
         controllers = self.members(CONTROLLER)
         mine = self.identity
@@ -220,17 +220,17 @@
         return addresses
 
     def _keep_dialing(self, address: str) -> None:
-        pause = FIRST_REDIAL
+        pause = FIRST_REDIAL_SECONDS
         while not self._stopped.is_set() and address in self._choose_peers():
             try:
-                silence = self.silence + 1
-                stream = connect_stream(parse_address(address), self._secret, silence)
-                pause = FIRST_REDIAL
-                self._converse(stream)
+                silence_timeout = self.silence_timeout + 1
+                stream = connect_stream(parse_address(address), self._secret, silence_timeout)
+                pause = FIRST_REDIAL_SECONDS
+                self._handle_stream(stream)
             except (OSError, PeerUnknownError) as error:
                 self._metrics.count("peer_dial_failures_total", reason=type(error).__name__)
             self._stopped.wait(pause)
-            pause = min(pause * 2, LONGEST_REDIAL)
+            pause = min(pause * 2, MAX_REDIAL_SECONDS)
         with self._lock:
             self._dialing.discard(address)
 
@@ -240,19 +240,19 @@
                 sock, _ = listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self._welcome, args=(sock,), daemon=True).start()
+            threading.Thread(target=self._accept_peer, args=(sock,), daemon=True).start()
 
-    def _welcome(self, sock: socket.socket) -> None:
+    def _accept_peer(self, sock: socket.socket) -> None:
         try:
-            self._converse(accept_stream(sock, self._secret, self.silence + 1))
+            self._handle_stream(accept_stream(sock, self._secret, self.silence_timeout + 1))
         except (OSError, PeerUnknownError) as error:
             self._metrics.count("peers_turned_away_total", reason=type(error).__name__)
 
-    def _converse(self, stream: PeerStream) -> None:
+    def _handle_stream(self, stream: PeerStream) -> None:
         threading.Thread(target=self._send_heartbeats, args=(stream,), daemon=True).start()
         try:
             while True:
-                self._take(unpack_message(stream.receive()), stream)
+                self._handle_message(unpack_message(stream.receive()), stream)
         except (OSError, FrameError) as error:
             self._metrics.count("peer_streams_ended_total", reason=type(error).__name__)
         finally:
@@ -279,24 +279,24 @@
                 epochs, generations = now_epochs, now_generations
                 if self.leaving and self._stopped.is_set():
                     return
-                with self._news:
-                    if self._news_count == seen:
-                        self._news.wait(self._heartbeat)
-                    seen = self._news_count
+                with self._announcements:
+                    if self._announcement_count == seen:
+                        self._announcements.wait(self._heartbeat)
+                    seen = self._announcement_count
         except OSError:
             stream.close()
 
-    def _take(self, message: Message, stream: PeerStream) -> None:
+    def _handle_message(self, message: Message, stream: PeerStream) -> None:
         match message:
             case Heartbeat():
-                self._take_heartbeat(message, stream)
+                self._handle_heartbeat(message, stream)
             case PullShards(names):
                 for copy in self._config.copies(names):
                     stream.send(pack_message(copy))
             case ShardCopy():
                 self._config.apply([message])
 
-    def _take_heartbeat(self, message: Heartbeat, stream: PeerStream) -> None:
+    def _handle_heartbeat(self, message: Heartbeat, stream: PeerStream) -> None:
         name = message.identity.name
         with self._lock:
             old = self._views.get(name)
@@ -333,7 +333,7 @@
 
 
 def choose_incarnation(api: ObjectApi, name: str) -> int:
-    """Return an incarnation above that of any earlier run of this name that is on record."""
+    """Return an incarnation above the registered one of this name, if any."""
     now = time.time_ns() // 1000
     try:
         stored = read_or_none(api, MEMBER, name)
@@ -344,12 +344,12 @@
 
 
 def _successors(mine: Identity, members: dict[str, Identity]) -> list[Identity]:
-    """Return the next few members after mine on a ring ordered by name."""
+    """Return the members that follow `mine` on a ring ordered by name, at most RING_SUCCESSORS."""
     names = sorted(members)
     after = [name for name in names if name > mine.name] + [n for n in names if n < mine.name]
-    return [members[name] for name in after[:RING_SIZE]]
+    return [members[name] for name in after[:RING_SUCCESSORS]]
 
 
 def bind_listener(address: tuple[str, int]) -> socket.socket:
-    """Bind the peer port; it stays this process's own for as long as it runs."""
+    """Bind the peer port exclusively for this process."""
     return socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=False)
--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -1,4 +1,4 @@
-"""Hosts leave their addresses in the store, so that they find each other at their start."""
+"""Registers hosts' addresses in the store, so that hosts find each other at their start."""
 
 import asyncio
 import ipaddress
@@ -14,9 +14,9 @@
 from swifttrestle.platform.store import ObjectStore
 
 PEER_KIND = "swifttrestle-peers"
-# Seconds for each host over which all hosts spread their looks after a return of the store: 20
-# calls a second of a whole fleet.
-RETURN_SECONDS_PER_HOST = 0.05
+# Seconds for each host of the fleet over which the hosts spread their calls after a restore of the
+# store: 20 calls per second of the whole fleet.
+RESTORE_SPREAD_SECONDS_PER_HOST = 0.05
 
 
 async def register_host(
@@ -26,25 +26,25 @@
     rng: random.Random,
     skipped: SkippedEntries,
 ) -> None:
-    """Write this host's address and learn those of others; retried until it is done."""
+    """Write this host's address and read those of others; retry until done."""
 
-    async def write_and_learn() -> None:
+    async def write_and_read() -> None:
         await _write_record(store, me)
         snapshot = await store.list(PEER_KIND)
         for malformed in snapshot.malformed:
             skipped.skip(PEER_KIND, malformed.name, malformed.error, malformed.content)
         for item in snapshot.items:
-            _learn_peer(item, peers, skipped)
+            _add_peer(item, peers, skipped)
 
-    await retry_until_done(write_and_learn, "peers not read", rng)
+    await retry_until_done(write_and_read, "peers not read", rng)
 
 
 async def restore_registration(
     store: ObjectStore, me: Member, hosts: int, rng: random.Random
 ) -> None:
-    """Have this host's address stand in a store that came back from a copy, as one of `hosts`."""
-    await asyncio.sleep(rng.random() * hosts * RETURN_SECONDS_PER_HOST)
-    await retry_until_done(lambda: _write_record(store, me), "own address not kept", rng)
+    """Write this host's address again if a restored store lacks it; `hosts` is the fleet's size."""
+    await asyncio.sleep(rng.random() * hosts * RESTORE_SPREAD_SECONDS_PER_HOST)
+    await retry_until_done(lambda: _write_record(store, me), "own address not registered", rng)
 
 
 async def _write_record(store: ObjectStore, me: Member) -> None:
@@ -56,12 +56,12 @@
     except NotFoundError:
         await store.create(PEER_KIND, me.host, spec)
     except BadEntryError:
-        # Another writer's: the entry under this host's name is this host's to write.
+        # Another writer's invalid entry stands under this host's name: overwrite it.
         await store.replace(PEER_KIND, me.host, spec, None)
 
 
-def _learn_peer(item: StoredObject, peers: PeerTable, skipped: SkippedEntries) -> None:
-    """Learn one host's address; an entry that cannot be taken hides no other."""
+def _add_peer(item: StoredObject, peers: PeerTable, skipped: SkippedEntries) -> None:
+    """Add one host's address; skip an invalid entry."""
     try:
         peers.add_peer(item.name, _read_ip(item))
     except BadEntryError as error:
--- a/src/swifttrestle/internal/coordination/representatives.py
+++ b/src/swifttrestle/internal/coordination/representatives.py
@@ -1,4 +1,4 @@
-"""Which hosts represent their availability zones, and who hears them."""
+"""Finds the aggregators (representatives) of availability zones, and the summaries' recipients."""
 
 from collections.abc import Callable, Sequence
 
@@ -7,26 +7,26 @@
 
 
 class Representatives:
-    """The representatives of all zones, by the members as this host sees them."""
+    """Finds the aggregators of all zones by the members that this host knows."""
 
     def __init__(self, me: Member, list_members: Callable[[], Sequence[Member]]) -> None:
-        """Judge by the members of the moment."""
+        """Use the current members at each call."""
         self._me = me
         self._list_members = list_members
 
     def list_own(self) -> set[str]:
-        """Return the representatives of this host's zone."""
+        """Return the aggregators of this host's zone."""
         found = list_representatives(self._list_members(), self._me.zone)
         return {item.host for item in found}
 
     def list_others(self) -> set[str]:
-        """Return the representatives of all other zones."""
+        """Return the aggregators of all other zones."""
         members = self._list_members()
         zones = {member.zone for member in members} - {self._me.zone}
         return {item.host for zone in zones for item in list_representatives(members, zone)}
 
-    def list_hearers(self) -> list[Member]:
-        """Return who hears a summary of this host: its zone, and other representatives."""
+    def list_recipients(self) -> list[Member]:
+        """Return the recipients of this host's summary: its zone and the other aggregators."""
         others = self.list_others()
         return [
             item
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -1,8 +1,9 @@
-"""Who lives in a large fleet: representatives of each zone hear its hosts and tell all others.
+"""Distributes the live hosts of a large fleet through zone aggregators (representatives).
 
-Where every host spoke to every other one, heartbeats would grow with the square of their
-number. Here a host speaks to the representatives of its zone alone. They tell their zone, and
-the representatives of the other zones, by summaries that name the rosters by digests.
+If every host sent heartbeats to every other one, their number would grow with the square of the
+number of hosts. Instead a host reports to the aggregators of its zone only. They send summaries to
+their zone and to the aggregators of other zones. A summary contains the digests of rosters, which
+are the lists of live hosts.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -25,91 +26,95 @@
 from swifttrestle.internal.state.peers import NEVER, PEER_TIMEOUT_SECONDS, PeerTable
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
-# Seconds after which a roster that nobody confirms any more is forgotten.
-KEPT_SECONDS = 10.0
-# Seconds for which a representative's word stands for its whole zone: two heartbeats.
-FRESH_SECONDS = PEER_TIMEOUT_SECONDS / 2
-# Seconds before the entries of a roster are asked for again: some round trips.
-ASK_SECONDS = 0.2
+# Seconds after which a roster that is no longer confirmed is discarded.
+ROSTER_RETENTION_SECONDS = 10.0
+# Seconds for which an aggregator's summary covers its whole zone: two heartbeats.
+COVERAGE_SECONDS = PEER_TIMEOUT_SECONDS / 2
+# Seconds before the entries of a roster are requested again.
+REQUEST_RETRY_SECONDS = 0.2
 
 
 @dataclass
-class _Asked:
-    """A roster that was asked for: when, and the latest time at which it was said to be true."""
+class _RequestedRoster:
+    """A requested roster: when it was requested, and the latest time at which it was valid."""
 
     at: float
-    true_at: float
+    valid_at: float
 
 
 @dataclass(frozen=True)
-class _Word:
-    """The rosters that a representative last confirmed, and when."""
+class _ConfirmedRosters:
+    """The rosters that an aggregator confirmed last, and when."""
 
     digests: frozenset[bytes]
     at: float
 
 
 class Rosters:
-    """The rosters that this host knows, and the exchange of them."""
+    """Keeps the rosters that this host knows, and exchanges them with peers."""
 
     def __init__(
         self,
         me: Member,
         socket: PeerSocket,
         peers: PeerTable,
-        take: Callable[[RosterSummary, str], None],
+        handle: Callable[[RosterSummary, str], None],
         now: Callable[[], float],
     ) -> None:
-        """Write into `peers`; hand each summary, with its sender's IP, to `take`."""
+        """Write into `peers`; call `handle` with each summary and its sender's IP."""
         self._me = me
         self._socket = socket
         self._peers = peers
-        self._take = take
+        self._handle = handle
         self._now = now
         self._known: dict[bytes, Roster] = {}
         self._confirmed_at: dict[bytes, float] = {}
-        self._asked: dict[bytes, _Asked] = {}
+        self._requested: dict[bytes, _RequestedRoster] = {}
         self._parts: dict[bytes, dict[int, RosterPart]] = {}
-        # The newest roster that each representative made, and when it was heard.
-        self._heard: dict[str, tuple[bytes, float]] = {}
-        self._words: dict[str, _Word] = {}
-        self._told: frozenset[bytes] = frozenset()
-        # When a representative of this host's own zone was last heard.
-        self.reported_at = NEVER
+        # The latest roster of each aggregator's own zone, and when it was received.
+        self._own_rosters: dict[str, tuple[bytes, float]] = {}
+        self._confirmed_rosters: dict[str, _ConfirmedRosters] = {}
+        self._sent_digests: frozenset[bytes] = frozenset()
+        # When a message of an aggregator of this host's zone was last received.
+        self.aggregator_heard_at = NEVER
         socket.receive(DatagramKind.ROSTER, self._receive)
 
     def refresh_own(self) -> RosterConfirmation:
-        """Return the mark of this host's zone as it hears it now."""
+        """Return the confirmation of a roster of the zone's hosts that send this one heartbeats."""
         heard = self._peers.list_heard(self._now())
         zone = self._me.zone
-        return self._keep(Roster.of(zone, [self._me, *(i for i in heard if i.zone == zone)]))
+        return self._store_roster(
+            Roster.of(zone, [self._me, *(i for i in heard if i.zone == zone)])
+        )
 
-    def list_strays(self) -> tuple[RosterConfirmation, ...]:
-        """Return marks for hosts of other zones that this one hears, and none of their zone.
+    def list_orphaned(self) -> tuple[RosterConfirmation, ...]:
+        """Return confirmations for orphaned hosts of other zones, which no aggregator reports.
 
-        They are told of by this host until their zone has representatives again.
+        This host receives their heartbeats and reports them until their zone has aggregators again.
         """
         now = self._now()
         heard = [item for item in self._peers.list_heard(now) if item.zone != self._me.zone]
-        fresh = [digest for digest, at in self._heard.values() if now - at < FRESH_SECONDS]
-        covered = self._list_hosts(fresh)
+        covering = [
+            digest for digest, at in self._own_rosters.values() if now - at < COVERAGE_SECONDS
+        ]
+        covered = self._list_hosts(covering)
         zones = {item.zone for item in heard if item.host not in covered}
         return tuple(
-            self._keep(Roster.of(zone, (item for item in heard if item.zone == zone)))
+            self._store_roster(Roster.of(zone, (item for item in heard if item.zone == zone)))
             for zone in sorted(zones)
         )
 
     def list_others(self, own: RosterConfirmation) -> tuple[RosterConfirmation, ...]:
-        """Return the marks that other representatives made, but for one equal to this host's."""
+        """Return the confirmations of other aggregators, except one that equals `own`."""
         now = self._now()
-        self._heard = {
+        self._own_rosters = {
             host: heard
-            for host, heard in self._heard.items()
+            for host, heard in self._own_rosters.items()
             if now - heard[1] < PEER_TIMEOUT_SECONDS
         }
-        # Two representatives that hear the same hosts make the same roster: the later word counts.
+        # Aggregators of the same live hosts send the same roster: the latest time counts.
         latest: dict[bytes, float] = {}
-        for digest, at in self._heard.values():
+        for digest, at in self._own_rosters.values():
             latest[digest] = max(at, latest.get(digest, NEVER))
         return tuple(
             RosterConfirmation(digest, round(now - at, 3))
@@ -117,82 +122,86 @@
             if digest != own.digest
         )
 
-    def is_news(self, marks: Sequence[RosterConfirmation]) -> bool:
-        """Return whether what this host hears has changed since its last summary."""
-        return not self._told.issuperset(mark.digest for mark in marks)
+    def has_changed(self, confirmations: Sequence[RosterConfirmation]) -> bool:
+        """Return whether the rosters have changed since this host's last summary."""
+        return not self._sent_digests.issuperset(
+            confirmation.digest for confirmation in confirmations
+        )
 
     def send(self, summary: RosterSummary, members: Iterable[Member]) -> None:
-        """Send a summary to all who hear this host."""
-        self._told = frozenset(mark.digest for mark in (summary.own, *summary.others))
+        """Send a summary to its recipients."""
+        self._sent_digests = frozenset(
+            confirmation.digest for confirmation in (summary.own, *summary.others)
+        )
         data = pack_roster_message(summary)
         for member in members:
             self._socket.send(member.ip, DatagramKind.ROSTER, data)
 
-    def answer(self, summary: RosterSummary, ip: str) -> None:
-        """Send a summary to a host that asked for help."""
+    def send_to(self, summary: RosterSummary, ip: str) -> None:
+        """Send a summary to a single host."""
         self._send(summary, ip)
 
-    def _keep(self, roster: Roster) -> RosterConfirmation:
+    def _store_roster(self, roster: Roster) -> RosterConfirmation:
         digest = roster.digest()
         self._known[digest] = roster
         self._confirmed_at[digest] = self._now()
         return RosterConfirmation(digest, 0.0)
 
     def expire(self) -> None:
-        """Forget rosters that nobody confirms any more."""
+        """Discard rosters that are no longer confirmed."""
         now = self._now()
         for digest, at in list(self._confirmed_at.items()):
-            if now - at > KEPT_SECONDS:
+            if now - at > ROSTER_RETENTION_SECONDS:
                 self._known.pop(digest, None)
                 del self._confirmed_at[digest]
-        for host, word in list(self._words.items()):
-            if now - word.at > KEPT_SECONDS:
-                del self._words[host]
-        for digest, asked in list(self._asked.items()):
-            if now - asked.at > KEPT_SECONDS:
+        for host, confirmed in list(self._confirmed_rosters.items()):
+            if now - confirmed.at > ROSTER_RETENTION_SECONDS:
+                del self._confirmed_rosters[host]
+        for digest, requested in list(self._requested.items()):
+            if now - requested.at > ROSTER_RETENTION_SECONDS:
                 self._parts.pop(digest, None)
-                del self._asked[digest]
+                del self._requested[digest]
 
     # Called by the socket.
 
     def _receive(self, data: bytes, ip: str) -> None:
-        """Take a datagram over; raise FrameError."""
+        """Handle a datagram; raise FrameError."""
         message = unpack_roster_message(data)
         match message:
             case RosterSummary():
-                self._take_summary(message, ip)
+                self._handle_summary(message, ip)
             case RosterRequest(digests):
-                self._answer(digests, ip)
+                self._send_rosters(digests, ip)
             case RosterPart():
-                self._take_part(message)
+                self._handle_part(message)
 
-    def _take_summary(self, summary: RosterSummary, ip: str) -> None:
+    def _handle_summary(self, summary: RosterSummary, ip: str) -> None:
         if summary.host == self._me.host:
-            raise FrameError("a summary names this host as its sender")
+            raise FrameError(f"a summary names this host as its sender ({summary.host})")
         now = self._now()
         if summary.zone == self._me.zone:
-            self.reported_at = now
-        self._heard[summary.host] = (summary.own.digest, now)
-        self._take(summary, ip)
+            self.aggregator_heard_at = now
+        self._own_rosters[summary.host] = (summary.own.digest, now)
+        self._handle(summary, ip)
         self._confirm(summary, ip, now)
-        self._note_word(summary, now)
+        self._withdraw_unreported(summary, now)
 
-    def _note_word(self, summary: RosterSummary, now: float) -> None:
-        """Withdraw the hosts that a representative told of before and nobody tells of now."""
-        digests = frozenset(mark.digest for mark in (summary.own, *summary.others))
+    def _withdraw_unreported(self, summary: RosterSummary, now: float) -> None:
+        """Withdraw the hosts that an aggregator reported before and that none reports now."""
+        digests = frozenset(confirmation.digest for confirmation in (summary.own, *summary.others))
         if not digests <= self._known.keys():
             return
-        before = self._words.get(summary.host)
-        self._words[summary.host] = _Word(digests, now)
+        before = self._confirmed_rosters.get(summary.host)
+        self._confirmed_rosters[summary.host] = _ConfirmedRosters(digests, now)
         if before is None or digests >= before.digests:
             return
-        told = {
+        reported = {
             digest
-            for word in self._words.values()
-            if now - word.at < PEER_TIMEOUT_SECONDS
-            for digest in word.digests
+            for confirmed in self._confirmed_rosters.values()
+            if now - confirmed.at < PEER_TIMEOUT_SECONDS
+            for digest in confirmed.digests
         }
-        for host in self._list_hosts(before.digests) - self._list_hosts(told):
+        for host in self._list_hosts(before.digests) - self._list_hosts(reported):
             self._peers.withdraw(host)
 
     def _list_hosts(self, digests: Iterable[bytes]) -> set[str]:
@@ -201,27 +210,27 @@
 
     def _confirm(self, summary: RosterSummary, ip: str, now: float) -> None:
         unknown = []
-        for mark in (summary.own, *summary.others):
-            at = now - max(0.0, mark.age)
-            roster = self._known.get(mark.digest)
+        for confirmation in (summary.own, *summary.others):
+            at = now - max(0.0, confirmation.age)
+            roster = self._known.get(confirmation.digest)
             if roster is not None:
-                self._confirmed_at[mark.digest] = now
+                self._confirmed_at[confirmation.digest] = now
                 self._peers.note_reported(roster.members, at, now)
-            elif self._may_ask(mark.digest, at, now):
-                unknown.append(mark.digest)
+            elif self._must_request(confirmation.digest, at, now):
+                unknown.append(confirmation.digest)
         if unknown:
             self._send(RosterRequest(tuple(unknown)), ip)
 
-    def _may_ask(self, digest: bytes, true_at: float, now: float) -> bool:
-        """Note a roster that is not known; return whether to ask for it now."""
-        asked = self._asked.setdefault(digest, _Asked(NEVER, true_at))
-        asked.true_at = max(asked.true_at, true_at)
-        if now - asked.at < ASK_SECONDS:
+    def _must_request(self, digest: bytes, valid_at: float, now: float) -> bool:
+        """Record an unknown roster; return whether to request it now."""
+        requested = self._requested.setdefault(digest, _RequestedRoster(NEVER, valid_at))
+        requested.valid_at = max(requested.valid_at, valid_at)
+        if now - requested.at < REQUEST_RETRY_SECONDS:
             return False
-        asked.at = now
+        requested.at = now
         return True
 
-    def _answer(self, digests: tuple[bytes, ...], ip: str) -> None:
+    def _send_rosters(self, digests: tuple[bytes, ...], ip: str) -> None:
         for digest in digests:
             roster = self._known.get(digest)
             if roster is None:
@@ -230,8 +239,8 @@
             for part in split_roster(roster):
                 self._send(part, ip)
 
-    def _take_part(self, part: RosterPart) -> None:
-        if part.digest in self._known or part.digest not in self._asked:
+    def _handle_part(self, part: RosterPart) -> None:
+        if part.digest in self._known or part.digest not in self._requested:
             return
         parts = self._parts.setdefault(part.digest, {})
         parts[part.number] = part
@@ -241,11 +250,13 @@
         members = [member for number in sorted(parts) for member in parts[number].members]
         roster = Roster.of(part.zone, members)
         if roster.digest() != part.digest:
-            raise FrameError("the parts of a roster do not fit together")
+            raise FrameError(
+                f"a roster's parts have digest {roster.digest().hex()}, not {part.digest.hex()}"
+            )
         now = self._now()
         self._known[part.digest] = roster
         self._confirmed_at[part.digest] = now
-        self._peers.note_reported(roster.members, self._asked.pop(part.digest).true_at, now)
+        self._peers.note_reported(roster.members, self._requested.pop(part.digest).valid_at, now)
         log_event("roster learned", zone=roster.zone, hosts=len(roster.members))
 
     def _send(self, message: RosterMessage, ip: str) -> None:
