--- a/src/swifttrestle/internal/coordination/__init__.py
+++ b/src/swifttrestle/internal/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between processes: leases, orders, accepted configuration, membership, drains."""
+"""Coordination between processes: leases, orders, configuration, membership and drains."""
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet current from the discovery list, through cuts and outages of the store."""
+"""Keeps the fleet current from the discovery list, also across outages of the store."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 from swifttrestle.internal.coordination.entries import SkippedEntries, UpstreamEntries
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
 from swifttrestle.internal.coordination.removals import Removals
-from swifttrestle.internal.coordination.restored_entries import CopiedEntries
+from swifttrestle.internal.coordination.restored_entries import RestoredEntries
 from swifttrestle.internal.coordination.store_availability import StoreAvailability
 from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.backoff import draw_backoff
@@ -21,40 +21,37 @@
 from swifttrestle.platform.records import UPSTREAM_KIND
 from swifttrestle.platform.store import ObjectStore
 
-# Least seconds between the starts of two calls. Each change of any record ends a waiting watch, so
-# in a release or while roles change a watch without a pause would be a call for each of them; this
-# pace is well under the time in which a leaving upstream must get no new work.
+# Minimum seconds between the starts of two calls. Without it every change of a record would cost a
+# call, since each change ends a pending watch.
 MIN_CALL_INTERVAL_SECONDS = 0.8
-# Seconds from the end of one watch to that of the next, pause and wait together: so short that a
-# path which is broken in silence is noticed in time, also with the store client's margin and the
-# list that follows (docs/INVARIANTS.md adds them up).
+# Seconds from the end of one watch to the end of the next, including the pause between them. Bounds
+# the time in which a silently broken path to the store is noticed (see docs/INVARIANTS.md).
 WATCH_SECONDS = 1.6
-# The same for a host that tells others what it sees: they take its silence for a fault.
+# Seconds of a watch on a relaying host, whose peers treat its silence as a fault.
 RELAYING_WATCH_SECONDS = MIN_CALL_INTERVAL_SECONDS
-# First and longest pause after a failed call, in seconds. All of it delays the moment from which
-# removals count again after an outage.
+# First and longest backoff after a failed call, in seconds. They delay the time from which removals
+# are trusted again after an outage.
 FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 0.4
-# Seconds of silence after which a host that hears of changes from others reads the list
-# itself: one and a half times the pace, so that a leaving upstream gets no new work after the
-# two seconds promised, also where the host that told of it is gone.
+# Seconds without a relayed message after which a host reads the list itself. Must be less than
+# the time in which a draining upstream must stop getting new work.
 RELAY_TIMEOUT_SECONDS = 1.2
-# Seconds over which hosts spread what they read after a return of the store from a copy, where
-# nothing else has them read at different moments.
+# Seconds over which hosts spread their reads after a restore of the store.
 RESTORE_SPREAD_SECONDS = 0.4
-# Failed calls in a row after which the store counts as away: a single one may be a cut watch.
+# Consecutive failed calls after which the store counts as unreachable; a single failure may be a
+# broken watch.
 FAILURES_FOR_OUTAGE = 2
 
 
 @dataclass(frozen=True)
-class _Taken:
-    """What became of an entry: whether it names an instance, and its record if that changed."""
+class _EntryResult:
+    """Result of applying an entry: whether it names an instance, and its record if changed."""
 
     listed: bool
     changed: UpstreamRecord | None = None
 
 
 class Discovery:
-    """One task that lists and watches upstreams."""
+    """Lists and watches the upstreams, or follows another host that does."""
 
     def __init__(
         self,
@@ -68,105 +65,107 @@
     ) -> None:
         """Write into a fleet; `changed` is called after each change.
 
-        `find_up_since` returns the loop's time since when the store has answered some peer.
+        `find_up_since` returns since when, in the loop's time, the store has answered some peer.
         """
         self._relay = relay
-        self._told = asyncio.Event()
-        # Whether the list is to be read anew, and not only watched from the last revision.
-        self._stale = True
-        # Seconds to wait before that, so that not all read it at once.
-        self._spread = 0.0
-        self._told_at = float("-inf")
-        # What this host told others last.
-        self._last_told = ListingChanges(NO_REVISION, NO_REVISION, 0.0)
+        self._relayed = asyncio.Event()
+        # Whether the whole list must be read again before the next watch.
+        self._must_list = True
+        # Seconds to wait before that read, so that hosts do not all read at once.
+        self._spread_seconds = 0.0
+        self._relayed_at = float("-inf")
+        # The changes that this host relayed last.
+        self._last_sent = ListingChanges(NO_REVISION, NO_REVISION, 0.0)
         self._store = store
         self._fleet = fleet
         self._entries = UpstreamEntries(fleet, skipped)
         self._rng = rng
         self._changed = changed
         self._revision = NO_REVISION
-        # Seconds of the pause before the call that is under way.
-        self._paused = 0.0
+        # Seconds of the pause before the current call.
+        self._pause_seconds = 0.0
         self._failures = 0
         self._away = False
-        # Outages that are over: a short one may come and go between two looks at
+        # Number of outages that are over. A short one may pass between two reads of
         # `store_unreachable`.
         self.store_returns = 0
-        self._contact = StoreAvailability()
+        self._availability = StoreAvailability()
         self.removals = Removals(fleet, changed, find_up_since)
-        self._copied = CopiedEntries(fleet)
-        self.removals.note_dropped = lambda name: self._copied.note_withdrawn(name, self._now())
+        self._restored_entries = RestoredEntries(fleet)
+        self.removals.on_dropped = lambda name: self._restored_entries.note_withdrawn(
+            name, self._now()
+        )
         self.known = False
-        relay.receive(self._take_told)
+        relay.receive(self._apply_relayed)
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the store has not answered this host's latest calls."""
+        """Whether this host's latest calls to the store failed."""
         return self._away
 
     def count_store_seconds(self) -> float:
-        """Return for how many seconds the store has answered this host without a break."""
-        return self._contact.find_available_seconds(self._now())
+        """Return for how many seconds the store has answered this host without interruption."""
+        return self._availability.find_available_seconds(self._now())
 
     async def run(self) -> None:
-        """List, then watch, for as long as the process lives."""
+        """List, then watch or follow, until cancelled."""
         while True:
             began = self._now()
             try:
-                if self._stale:
-                    await self._wait_turn()
+                if self._must_list:
+                    await self._wait_spread()
                     await self._list()
-                elif self._follows():
-                    await self._follow()
+                elif self._relies_on_relay():
+                    await self._wait_for_relayed()
                     continue
                 else:
                     await self._watch()
                 self._note_answer()
-                self._paused = max(0.0, MIN_CALL_INTERVAL_SECONDS - (self._now() - began))
-                await asyncio.sleep(self._paused)
+                self._pause_seconds = max(0.0, MIN_CALL_INTERVAL_SECONDS - (self._now() - began))
+                await asyncio.sleep(self._pause_seconds)
             except HistoryGoneError:
                 log_event("discovery history gone", revision=str(self._revision))
-                self._stale = True
+                self._must_list = True
                 if self._store.epochs.current == self._revision.epoch:
                     await asyncio.sleep(self._rng.random() * MIN_CALL_INTERVAL_SECONDS / 2)
             except PlatformUnavailableError as error:
-                await self._wait_out(error)
+                await self._back_off(error)
 
-    async def _wait_turn(self) -> None:
-        seconds, self._spread = self._spread, 0.0
+    async def _wait_spread(self) -> None:
+        seconds, self._spread_seconds = self._spread_seconds, 0.0
         await asyncio.sleep(seconds)
 
     async def _list(self) -> None:
         snapshot = await self._store.list(UPSTREAM_KIND)
         self._note_answer()
-        self._stale = False
+        self._must_list = False
         same_epoch = snapshot.revision.epoch == self._revision.epoch
         if same_epoch and snapshot.revision < self._revision:
-            # Another host has told of what is newer in the meantime.
+            # Another host has relayed newer changes in the meantime.
             dropped, known = str(snapshot.revision), str(self._revision)
             log_event("older list dropped", revision=dropped, known=known)
             return
         if not same_epoch and self.known:
             self._begin_epoch(snapshot)
         self._revision = snapshot.revision
-        listed = {item.name for item in snapshot.items if self._take(item).listed}
+        listed = {item.name for item in snapshot.items if self._apply_entry(item).listed}
         for malformed in snapshot.malformed:
-            self._take(malformed)
+            self._apply_entry(malformed)
         if snapshot.complete:
             for name in self._fleet.list_names() - listed:
                 self._remove(name)
         self.known = True
         self._changed()
-        # What changed before this list was read is not known one by one.
-        self._tell(self._revision, (), ())
+        # The individual changes before this list are not known.
+        self._relay_changes(self._revision, (), ())
 
     def _begin_epoch(self, snapshot: Snapshot) -> None:
-        """Take the first list after a return of the store for the old copy that it is."""
+        """Prepare for the first list after a restore of the store, which is outdated."""
         now = self._now()
-        self._contact.record_outage()
-        self._contact.record_answer(now)
-        self.removals.note_epoch(now)
-        left_aside = self._copied.begin(snapshot, now)
+        self._availability.record_outage()
+        self._availability.record_answer(now)
+        self.removals.note_restore(now)
+        left_aside = self._restored_entries.record_restored_list(snapshot, now)
         log_event(
             "list of a returned store",
             revision=str(snapshot.revision),
@@ -176,57 +175,57 @@
         )
 
     async def _watch(self) -> None:
-        longest = WATCH_SECONDS - self._paused
+        longest = WATCH_SECONDS - self._pause_seconds
         wait = RELAYING_WATCH_SECONDS if self._relay.should_relay() else longest
         since = self._revision
         seen = await self._store.watch(UPSTREAM_KIND, since, wait)
         self._note_answer()
-        if self._copied.drop_due(self._now()):
-            self._stale = True
+        if self._restored_entries.drop_expired(self._now()):
+            self._must_list = True
         if seen.revision < self._revision:
-            # Another host has told of what is newer in the meantime.
+            # Another host has relayed newer changes in the meantime.
             return
         self._revision = seen.revision
         records: dict[str, UpstreamRecord] = {}
         removed: set[str] = set()
         for change in seen.changes:
-            # Only what holds at the end is told: an instance may go and come back in between.
+            # Only the final state is relayed: an instance may be removed and listed again.
             name = change.item.name
-            taken = self._apply(change)
-            if taken.changed is not None:
-                records[name] = taken.changed
+            result = self._apply_change(change)
+            if result.changed is not None:
+                records[name] = result.changed
                 removed.discard(name)
-            elif name and not taken.listed:
+            elif name and not result.listed:
                 records.pop(name, None)
                 removed.add(name)
         if seen.changes:
             self._changed()
-        self._tell(since, tuple(records.values()), tuple(removed))
+        self._relay_changes(since, tuple(records.values()), tuple(removed))
 
-    def _apply(self, change: Change) -> _Taken:
-        """Take one change over."""
+    def _apply_change(self, change: Change) -> _EntryResult:
+        """Apply one change."""
         if not change.removed:
-            return self._take(change.item)
-        self._entries.forget(change.item.name)
+            return self._apply_entry(change.item)
+        self._entries.discard(change.item.name)
         self._remove(change.item.name)
-        return _Taken(listed=False)
+        return _EntryResult(listed=False)
 
-    def _take(self, item: StoredObject | MalformedObject) -> _Taken:
-        """Take one entry over; one that names no instance to use counts as gone."""
+    def _apply_entry(self, item: StoredObject | MalformedObject) -> _EntryResult:
+        """Apply one entry; an instance whose entry is not usable is removed."""
         record = self._entries.read(item)
         if record is not None:
-            record = self._copied.judge(item, record)
+            record = self._restored_entries.resolve(item, record)
         if record is None:
             self._remove(item.name)
-            return _Taken(listed=False)
+            return _EntryResult(listed=False)
         changed = self._put_record(record, self._revision, "store")
-        return _Taken(listed=True, changed=record if changed else None)
+        return _EntryResult(listed=True, changed=record if changed else None)
 
     def _put_record(self, record: UpstreamRecord, revision: StoreRevision, source: str) -> bool:
         if self._fleet.is_stale_record(record):
             return False
-        was_missing = self.removals.restore(record.instance)
-        self._copied.note_listed(record.instance)
+        was_missing = self.removals.cancel(record.instance)
+        self._restored_entries.note_listed(record.instance)
         if not self._fleet.put(record):
             return was_missing
         log_event(
@@ -240,9 +239,9 @@
         )
         return True
 
-    # Changes that other hosts tell of.
+    # Relayed changes.
 
-    def _tell(
+    def _relay_changes(
         self,
         since: StoreRevision,
         records: tuple[UpstreamRecord, ...],
@@ -250,78 +249,79 @@
     ) -> None:
         if not self._relay.should_relay():
             return
-        removal_distrust_seconds = max(0.0, self.removals.find_trusted_from() - self._now())
+        removal_distrust_seconds = max(0.0, self.removals.find_trusted_at() - self._now())
         changes = ListingChanges(since, self._revision, removal_distrust_seconds, records, removed)
-        # Each message repeats the one before, so that a lost one costs its hearers a pace, and
-        # not a pace and a list that all of them ask for.
-        self._relay.send(join_changes(self._last_told, changes))
-        self._last_told = changes
+        # Each message repeats the previous one, so that recipients need not read the list after
+        # a single lost message.
+        self._relay.send(join_changes(self._last_sent, changes))
+        self._last_sent = changes
 
-    def _follows(self) -> bool:
-        """Return whether another host watches for this one, and is heard."""
+    def _relies_on_relay(self) -> bool:
+        """Return whether another host relays changes to this one and has done so recently."""
         return (
-            self._now() - self._told_at < RELAY_TIMEOUT_SECONDS and not self._relay.should_watch()
+            self._now() - self._relayed_at < RELAY_TIMEOUT_SECONDS
+            and not self._relay.should_watch()
         )
 
-    async def _follow(self) -> None:
-        """Wait for the next word of another host; read the list itself where none comes."""
-        self._contact.record_outage()
-        self._told.clear()
+    async def _wait_for_relayed(self) -> None:
+        """Wait for the next relayed message; schedule a read of the list if none arrives."""
+        self._availability.record_outage()
+        self._relayed.clear()
         try:
             async with asyncio.timeout(
-                max(0.0, self._told_at + RELAY_TIMEOUT_SECONDS - self._now())
+                max(0.0, self._relayed_at + RELAY_TIMEOUT_SECONDS - self._now())
             ):
-                await self._told.wait()
+                await self._relayed.wait()
         except TimeoutError:
             log_event("list watcher silent", revision=str(self._revision))
-            self._stale = True
+            self._must_list = True
 
-    def _take_told(self, changes: ListingChanges) -> None:
-        """Take over what another host has seen; read the list where something is missing.
+    def _apply_relayed(self, changes: ListingChanges) -> None:
+        """Apply changes that another host relays; schedule a read of the list after a gap.
 
-        A host that cannot reach the store itself stays up to date by this. What the teller takes
-        for withdrawn is gone here too, whatever this host, or another teller, has lost since.
+        Keeps a host up to date that cannot reach the store itself. The sender decides from when a
+        removal is trusted, whatever this host or another sender has missed.
         """
         if changes.revision < self._revision:
             return
-        self._told_at = self._now()
+        self._relayed_at = self._now()
         if changes.since > self._revision:
-            self._stale = True
+            self._must_list = True
             if self.known and changes.since.epoch != self._revision.epoch:
-                self._spread = self._rng.random() * RESTORE_SPREAD_SECONDS
+                self._spread_seconds = self._rng.random() * RESTORE_SPREAD_SECONDS
         else:
-            self._fleet.confirmed_at = self._told_at
+            self._fleet.confirmed_at = self._relayed_at
             self._revision = changes.revision
             for record in changes.records:
                 self._put_record(record, changes.revision, "peer")
             for name in changes.removed:
                 self.removals.remove(
-                    name, self._told_at + changes.removal_distrust_seconds, changes.revision
+                    name, self._relayed_at + changes.removal_distrust_seconds, changes.revision
                 )
         if changes.records or changes.removed:
             self._changed()
-        self._told.set()
+        self._relayed.set()
 
     def _remove(self, name: str) -> None:
-        self.removals.remove(name, self.removals.find_trusted_from(), self._revision)
+        self.removals.remove(name, self.removals.find_trusted_at(), self._revision)
 
     def _note_answer(self) -> None:
         self._failures = 0
         now = self._now()
         self._fleet.confirmed_at = now
-        self._contact.record_answer(now)
+        self._availability.record_answer(now)
         if self._away:
             self._away = False
             self.store_returns += 1
-            self.removals.note_return(now)
+            self.removals.note_outage_end(now)
             log_event("store regained", by="discovery")
 
-    async def _wait_out(self, error: PlatformUnavailableError) -> None:
-        # As for the configuration, only a fresh list tells what changed behind a cut watch.
-        self._stale = True
+    async def _back_off(self, error: PlatformUnavailableError) -> None:
+        # A new watch could miss changes since the broken one: read the list again.
+        self._must_list = True
         if not self._failures:
-            self.removals.note_loss(self._contact.answered_at)
-        self._contact.record_outage()
+            self.removals.note_outage(self._availability.answered_at)
+        self._availability.record_outage()
         self._failures += 1
         if self._failures >= FAILURES_FOR_OUTAGE and not self._away:
             self._away = True
--- a/src/swifttrestle/internal/coordination/entries.py
+++ b/src/swifttrestle/internal/coordination/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store that cannot be taken: each is told of once, and hides no other."""
+"""Validates entries of the store; logs each invalid one once and goes on with the others."""
 
 import zlib
 from collections import OrderedDict
@@ -11,52 +11,51 @@
 from swifttrestle.platform.objects import MalformedObject, StoredObject
 from swifttrestle.platform.records import UPSTREAM_KIND, read_upstream
 
-# Entries that are remembered as told of: each costs some 200 bytes, and a fleet of 10,000
-# upstreams has hardly more stray ones at a time.
-MOST_REMEMBERED = 1000
+# Invalid entries that are remembered as logged already.
+MAX_REMEMBERED_ENTRIES = 1000
 
-Counter = Callable[[str, str], None]
+CountSkipped = Callable[[str, str], None]
 
 
 class SkippedEntries:
-    """Logs each content that cannot be taken once, and counts all by kind and field."""
+    """Logs and counts invalid entries, once for each content."""
 
-    def __init__(self, count: Counter) -> None:
-        """Call `count` with the kind and the field of each entry that is skipped."""
+    def __init__(self, count: CountSkipped) -> None:
+        """Call `count` with the kind and the field of each skipped entry."""
         self._count = count
-        self._told: OrderedDict[tuple[str, str], int] = OrderedDict()
+        self._logged: OrderedDict[tuple[str, str], int] = OrderedDict()
 
     def skip(self, kind: str, name: str, error: BadEntryError, content: object) -> None:
-        """Note that an entry was not taken; a name that cannot be read is empty."""
+        """Log and count an invalid entry; `name` is empty if it cannot be read."""
         digest = zlib.crc32(repr(content).encode("utf-8", "replace"))
-        # Entries without a name are told apart by their content alone.
+        # Entries without a name are told apart by their content.
         key = (kind, name or str(digest))
-        if self._told.get(key) == digest:
+        if self._logged.get(key) == digest:
             return
-        self._told[key] = digest
-        self._told.move_to_end(key)
-        if len(self._told) > MOST_REMEMBERED:
-            self._told.popitem(last=False)
+        self._logged[key] = digest
+        self._logged.move_to_end(key)
+        if len(self._logged) > MAX_REMEMBERED_ENTRIES:
+            self._logged.popitem(last=False)
         self._count(kind, error.field)
         log_event("entry skipped", kind=kind, name=name, field=error.field, reason=str(error))
 
     def clear(self, kind: str, name: str) -> None:
-        """Note that an entry was taken: a wrong one after it is news again."""
-        self._told.pop((kind, name), None)
+        """Record that an entry is valid, so that it is logged if it becomes invalid again."""
+        self._logged.pop((kind, name), None)
 
 
 class UpstreamEntries:
-    """Reads the entries of the discovery list against what is known of their starts."""
+    """Reads the entries of the discovery list and checks their start times."""
 
     def __init__(self, fleet: Fleet, skipped: SkippedEntries) -> None:
-        """Compare with the starts that `fleet` uses."""
+        """Report invalid entries to `skipped`."""
         self._fleet = fleet
         self._skipped = skipped
-        # The latest start that each listed instance told.
-        self._born: dict[str, int] = {}
+        # The latest start time that each listed instance has written.
+        self._latest_start: dict[str, int] = {}
 
     def read(self, item: StoredObject | MalformedObject) -> UpstreamRecord | None:
-        """Return the record of an entry, or None where it names no instance to use."""
+        """Return the record of an entry, or None if the entry is invalid."""
         if isinstance(item, MalformedObject):
             self._skipped.skip(item.kind, item.name, item.error, item.content)
             return None
@@ -69,16 +68,16 @@
         self._skipped.clear(UPSTREAM_KIND, item.name)
         return record
 
-    def forget(self, name: str) -> None:
-        """Note that an instance is not listed any more; whatever is listed next counts."""
-        self._born.pop(name, None)
+    def discard(self, name: str) -> None:
+        """Record that an instance is no longer listed, so that any next record is accepted."""
+        self._latest_start.pop(name, None)
         self._skipped.clear(UPSTREAM_KIND, name)
 
     def _check_start(self, record: UpstreamRecord) -> None:
-        """Raise BadEntryError where a field is missing that the same upstream has told."""
-        told = self._born.get(record.instance, 0)
-        if told and not record.born:
+        """Raise BadEntryError if the start time is missing although it was written before."""
+        known = self._latest_start.get(record.instance, 0)
+        if known and not record.born:
             what = f"record of {record.instance}"
-            raise BadEntryError(what, "born", None, f"it is missing, and was {told}")
+            raise BadEntryError(what, "born", None, f"it is missing, but was {known}")
         if record.born:
-            self._born[record.instance] = max(told, record.born)
+            self._latest_start[record.instance] = max(known, record.born)
--- a/src/swifttrestle/internal/coordination/listing_relay.py
+++ b/src/swifttrestle/internal/coordination/listing_relay.py
@@ -1,7 +1,7 @@
-"""In a large fleet a few hosts of each zone watch the discovery list and tell the others.
+"""Relays changes of the discovery list within a zone of a large fleet.
 
-Each watch is a call to the store, and a short one, since a host has to notice in time that its
-path to the store is broken; many hosts that all watch ask the same question all the time.
+Watches must be short, so that a host notices a broken path to the store in time. To limit the calls
+to the store, only a few hosts of each zone watch the list and relay changes to the others.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,7 +13,7 @@
 
 
 class ListingRelay:
-    """Sends changes of the list to this host's zone, and hands on those that come from it."""
+    """Sends changes of the list to this host's zone, and receives those of other hosts."""
 
     def __init__(
         self,
@@ -22,42 +22,43 @@
         list_members: Callable[[], Sequence[Member]],
         has_duty: Callable[[], bool],
     ) -> None:
-        """Use the host's socket and its view of the hosts that live.
+        """Use the host's socket and its view of the live hosts.
 
-        A host that `has_duty` watches for itself, so that it notices where it is cut off.
+        A host that `has_duty` watches the list itself, to notice a broken path to the store.
         """
         self._has_duty = has_duty
         self._socket = socket
         self._host = host
         self._list_members = list_members
 
-    def receive(self, take: Callable[[ListingChanges], None]) -> None:
-        """Hand changes from other hosts to `take`."""
-        self._socket.receive(DatagramKind.LISTING, lambda data, _: take(unpack_changes(data)))
+    def receive(self, handle: Callable[[ListingChanges], None]) -> None:
+        """Call `handle` with the changes that other hosts send."""
+        self._socket.receive(DatagramKind.LISTING, lambda data, _: handle(unpack_changes(data)))
 
     def should_watch(self) -> bool:
-        """Return whether this host is to watch the list itself."""
+        """Return whether this host must watch the list itself."""
         return (
             not is_large_fleet(len(self._list_members())) or self._has_duty() or self.should_relay()
         )
 
     def should_relay(self) -> bool:
-        """Return whether this host is to watch the list for others too."""
+        """Return whether this host must relay changes to its zone."""
         members = self._list_members()
         if not is_large_fleet(len(members)):
             return False
         return any(
-            item.host == self._host for item in list_representatives(members, self._zone(members))
+            item.host == self._host
+            for item in list_representatives(members, self._find_zone(members))
         )
 
     def send(self, changes: ListingChanges) -> None:
-        """Tell this host's zone; for a host that tells."""
+        """Send changes to the other hosts of this host's zone."""
         members = self._list_members()
-        zone = self._zone(members)
+        zone = self._find_zone(members)
         data = pack_changes(changes)
         for member in members:
             if member.zone == zone and member.host != self._host:
                 self._socket.send(member.ip, DatagramKind.LISTING, data)
 
-    def _zone(self, members: Sequence[Member]) -> str:
+    def _find_zone(self, members: Sequence[Member]) -> str:
         return next((item.zone for item in members if item.host == self._host), "")
--- a/src/swifttrestle/internal/coordination/prompt_cache_loader.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -1,8 +1,7 @@
-"""A host that starts asks engines which parts of prompts they keep.
+"""Loads the contents of engines' prompt caches when a host starts.
 
-All else that it believes of engines' caches comes from what was sent since it started. After a
-fault that ends all hosts nobody is left to tell, and engines that keep everything would count as
-empty for as long as it takes to read it all again.
+Otherwise a host knows only the prompts that were sent since its start. After a failure of all hosts
+full caches would count as empty, and prompts would be prefilled again elsewhere.
 """
 
 import asyncio
@@ -26,22 +25,22 @@
     read_cached_parts,
 )
 
-# Seconds between two looks for the first listed engines.
+# Poll interval in seconds until the first engines are listed.
 POLL_SECONDS = 0.05
-# Longest random wait of a host before it asks, in seconds: hosts that start together must not
-# hold one engine up together, and it is a fraction of what reading the parts again would take.
-SPREAD_SECONDS = 0.2
-# Seconds in which an engine must begin to answer, and between bytes of its answer. There is no
-# bound for the whole: a list of a megabyte takes two seconds over 5 Mbit/s.
-PATIENCE = CallTimeouts(head=0.5, between_bytes=0.5)
-# Engines that a host asks at most: more of them are booked by a scheduler, which is one of many.
-MOST_ASKED = 16
-# Bytes that an engine's list may have: some ten thousand parts.
-LARGEST_LIST = 1024 * 1024
+# Maximum random delay before the queries, in seconds, so that hosts that start together do not all
+# query the same engine at once.
+MAX_DELAY_SECONDS = 0.2
+# Timeouts in seconds of the response's first byte and between its bytes. The whole response has
+# none, so that slow links can complete it.
+TIMEOUTS = CallTimeouts(head=0.5, between_bytes=0.5)
+# Engines that a host queries at most.
+MAX_QUERIED_ENGINES = 16
+# Maximum size of an engine's list in bytes, about ten thousand parts.
+MAX_LIST_BYTES = 1024 * 1024
 
 
 class PromptCacheLoader:
-    """Fills the beliefs of a host that has just started."""
+    """Fills the estimated prompt cache contents of a host that has just started."""
 
     def __init__(
         self,
@@ -51,25 +50,23 @@
         schedules_engines: Callable[[], bool],
         rng: random.Random,
     ) -> None:
-        """Ask through `pool`; `schedules_engines` tells whether this host itself chooses
-        engines.
-        """
+        """Query through `pool`; `schedules_engines` returns whether this host schedules engines."""
         self._zone = zone
         self._fleet = fleet
         self._pool = pool
-        self._books = schedules_engines
+        self._schedules_engines = schedules_engines
         self._rng = rng
 
     async def run(self) -> None:
-        """Ask once, as soon as engines are listed."""
+        """Query the engines once, as soon as some are listed."""
         while not self._fleet.list_engine_services():
             await asyncio.sleep(POLL_SECONDS)
-        await asyncio.sleep(SPREAD_SECONDS * self._rng.random())
-        if not self._books():
+        await asyncio.sleep(MAX_DELAY_SECONDS * self._rng.random())
+        if not self._schedules_engines():
             return
         engines = self._list_engines()
         self._rng.shuffle(engines)
-        for engine in engines[:MOST_ASKED]:
+        for engine in engines[:MAX_QUERIED_ENGINES]:
             await self._load(engine)
 
     def _list_engines(self) -> list[Instance]:
@@ -81,7 +78,7 @@
         return [item for item in found if item.role is not Role.NONE]
 
     async def _load(self, engine: Instance) -> None:
-        """Take over what one engine keeps; what it does not tell stays unknown."""
+        """Record the cached parts of one engine; log a failed query and skip the engine."""
         request = OutgoingRequest(
             b"GET",
             CACHED_PARTS_PATH,
@@ -92,16 +89,16 @@
         )
         try:
             head, content = await call_once(
-                self._pool, engine.name, engine.record.address, request, LARGEST_LIST, PATIENCE
+                self._pool, engine.name, engine.record.address, request, MAX_LIST_BYTES, TIMEOUTS
             )
-            kept = read_cached_parts(content) if head.status == 200 else CachedParts(())
+            cached = read_cached_parts(content) if head.status == 200 else CachedParts(())
         except (UpstreamError, TimeoutError) as error:
             log_event("kept parts not told", engine=engine.name, reason=repr(error))
             return
-        if is_other_incarnation(kept.born, engine.record.born):
-            log_event("kept parts of another start", engine=engine.name, born=kept.born)
+        if is_other_incarnation(cached.born, engine.record.born):
+            log_event("kept parts of another start", engine=engine.name, born=cached.born)
             return
-        parts = kept.parts
+        parts = cached.parts
         for part in parts:
             self._fleet.note_prompt(SentPrompt(engine.name, (part,), read=True))
         log_event("kept parts told", engine=engine.name, parts=len(parts), status=head.status)
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -1,7 +1,7 @@
-"""Keeps what is quarantined in the platform's store: a loss of power takes all hosts' memory.
+"""Persists quarantined requests in the platform's store, in case all hosts lose their memory.
 
-One object holds all of it. Hosts read it once, at their start; one host, found by a hash, writes it
-where something was added or acquitted, so that neither costs a call while nothing happens.
+One object holds all of them. Each host reads it once, at its start. One host, found by a hash,
+writes it when a request is quarantined or cleared.
 """
 
 import asyncio
@@ -27,17 +27,17 @@
 
 QUARANTINE_KIND = "swifttrestle-quarantine"
 QUARANTINE_NAME = "requests"
-# Requests that the object holds, the latest crashes first: some 100 kB, a tenth of what one object
-# may have.
-MOST_STORED = 512
-# The event of the line that tells of a try in vain.
-NOT_KEPT = "quarantine not kept"
-# Seconds for which what comes in is gathered before a write: the requests of one crash.
-GATHER_SECONDS = 0.05
+# Requests that the object holds at most, those with the latest crashes first: about 100 kB, a tenth
+# of the largest object.
+MAX_STORED_REQUESTS = 512
+# Log event of a failed read or write.
+NOT_STORED_EVENT = "quarantine not written"
+# Seconds for which changes are collected before a write.
+COLLECT_SECONDS = 0.05
 
 
 class QuarantineStore:
-    """Reads the object at a start, and writes it where this host is the one that does."""
+    """Reads the object at the start, and writes changes if this host is the writer."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         rng: random.Random,
         skipped: SkippedEntries,
     ) -> None:
-        """Keep what `guard` has in `store`."""
+        """Persist the quarantine of `guard` in `store`."""
         self._store = store
         self._guard = guard
         self._host = host
@@ -58,39 +58,41 @@
         self._changed = asyncio.Event()
 
     def note_change(self) -> None:
-        """Take over that something was quarantined or acquitted."""
+        """Schedule a write after a request was quarantined or cleared."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Read once, then write for as long as the process lives."""
-        await retry_until_done(self._load, NOT_KEPT, self._rng)
+        """Read once, then write changes until cancelled."""
+        await retry_until_done(self._load, NOT_STORED_EVENT, self._rng)
         while True:
             await self._changed.wait()
-            await asyncio.sleep(GATHER_SECONDS)
+            await asyncio.sleep(COLLECT_SECONDS)
             self._changed.clear()
-            await retry_until_done(self._save, NOT_KEPT, self._rng)
+            await retry_until_done(self._save, NOT_STORED_EVENT, self._rng)
 
     async def _load(self) -> None:
-        known = await self._read()
-        if known is not None:
-            self._take(known)
+        stored_object = await self._read()
+        if stored_object is not None:
+            self._merge(stored_object)
 
     async def _save(self) -> None:
-        """Write what is quarantined here, together with what stands there."""
-        if not self._writes():
+        """Merge the stored object with this host's quarantine and write it if that changed it."""
+        if not self._is_writer():
             return
-        known = await self._read()
-        # What was acquitted here does not come back by this: its answer is later than its crashes.
-        stored = {} if known is None else self._take(known)
-        cases = self._list_quarantined()
-        if _count_crashes(cases) == stored:
+        stored_object = await self._read()
+        # Requests that were cleared here stay cleared: their answers are later than their crashes.
+        stored_crashes = {} if stored_object is None else self._merge(stored_object)
+        records = self._list_quarantined()
+        if _count_crashes(records) == stored_crashes:
             return
-        spec = {"requests": [_write_case(case, _now()) for case in cases]}
-        if known is None:
+        spec = {"requests": [_format_record(record, _now()) for record in records]}
+        if stored_object is None:
             await self._store.create(QUARANTINE_KIND, QUARANTINE_NAME, spec)
         else:
-            await self._store.replace(QUARANTINE_KIND, QUARANTINE_NAME, spec, known.revision)
-        log_event("quarantine kept", requests=len(cases))
+            await self._store.replace(
+                QUARANTINE_KIND, QUARANTINE_NAME, spec, stored_object.revision
+            )
+        log_event("quarantine kept", requests=len(records))
 
     async def _read(self) -> StoredObject | None:
         try:
@@ -98,59 +100,63 @@
         except NotFoundError:
             return None
 
-    def _take(self, known: StoredObject) -> dict[RequestFingerprint, int]:
-        """Take over what the object holds; return the crashes that it names by request.
+    def _merge(self, stored_object: StoredObject) -> dict[RequestFingerprint, int]:
+        """Merge the object into the quarantine; return its number of crashes by request.
 
-        An entry that cannot be read hides no other.
+        Skips entries that cannot be read.
         """
-        requests = known.spec.get("requests") if isinstance(known.spec, dict) else None
-        cases = []
-        for raw in requests if isinstance(requests, list) else [known.spec]:
+        requests = (
+            stored_object.spec.get("requests") if isinstance(stored_object.spec, dict) else None
+        )
+        records = []
+        for raw in requests if isinstance(requests, list) else [stored_object.spec]:
             try:
-                cases.append(_read_case(raw, _now()))
+                records.append(_parse_record(raw, _now()))
             except BadEntryError as error:
-                self._skipped.skip(QUARANTINE_KIND, known.name, error, raw)
-        self._guard.merge_crash_records(cases, "the store")
-        return _count_crashes(cases)
+                self._skipped.skip(QUARANTINE_KIND, stored_object.name, error, raw)
+        self._guard.merge_crash_records(records, "the store")
+        return _count_crashes(records)
 
-    def _writes(self) -> bool:
-        """Return whether this host writes the object: every host finds the same one by a hash."""
+    def _is_writer(self) -> bool:
+        """Return whether this host writes the object; all hosts find the same one by a hash."""
         hosts = [item.host for item in self._list_members()]
         return self._host == max(hosts, key=lambda host: rank(QUARANTINE_KIND, host))
 
     def _list_quarantined(self) -> list[CrashRecord]:
-        cases = self._guard.quarantine.list_quarantined()
-        return sorted(cases, key=lambda case: case.last_crash_at, reverse=True)[:MOST_STORED]
+        records = self._guard.quarantine.list_quarantined()
+        return sorted(records, key=lambda record: record.last_crash_at, reverse=True)[
+            :MAX_STORED_REQUESTS
+        ]
 
 
-def _count_crashes(cases: Sequence[CrashRecord]) -> dict[RequestFingerprint, int]:
-    return {case.name: len(case.crashes) for case in cases}
+def _count_crashes(records: Sequence[CrashRecord]) -> dict[RequestFingerprint, int]:
+    return {record.name: len(record.crashes) for record in records}
 
 
-def _write_case(case: CrashRecord, now: float) -> dict[str, Any]:
-    """Return the stored form; times go by the time of day, in Unix milliseconds."""
+def _format_record(record: CrashRecord, now: float) -> dict[str, Any]:
+    """Return the stored form, with times in Unix milliseconds."""
     crashes = [
         {"start": crash.start, "at": int((time.time() - now + crash.at) * 1000)}
-        for crash in case.crashes
+        for crash in record.crashes
     ]
-    return {"name": pack_fingerprint(case.name).hex(), "crashes": crashes}
+    return {"name": pack_fingerprint(record.name).hex(), "crashes": crashes}
 
 
-def _read_case(raw: Any, now: float) -> CrashRecord:
-    """Return the case of a stored form; raise BadEntryError."""
+def _parse_record(raw: Any, now: float) -> CrashRecord:
+    """Return the crash record of a stored form; raise BadEntryError."""
     match raw:
         case {"name": str(name), "crashes": [_, *_] as crashes}:
             try:
-                read = tuple(_read_crash(crash, now) for crash in crashes)
+                read = tuple(_parse_crash(crash, now) for crash in crashes)
                 return CrashRecord(unpack_fingerprint(bytes.fromhex(name)), read)
             except (ValueError, TypeError, KeyError) as error:
                 raise BadEntryError("a quarantine", "requests", raw, repr(error)) from None
     raise BadEntryError("a quarantine", "requests", raw, "a field is missing or of another type")
 
 
-def _read_crash(raw: Any, now: float) -> Crash:
+def _parse_crash(raw: Any, now: float) -> Crash:
     age = time.time() - check_integer(raw["at"], 0, MAX_INT64) / 1000
-    # A clock of the platform's hosts may be ahead of this one's.
+    # The clock of the host that wrote the entry may be ahead of this host's.
     return Crash(check_text(raw["start"]), now - min(max(age, 0.0), CRASH_RETENTION_SECONDS))
 
 
--- a/src/swifttrestle/internal/coordination/removals.py
+++ b/src/swifttrestle/internal/coordination/removals.py
@@ -1,9 +1,9 @@
-"""Which instances that the discovery list lacks are still used, and until when.
+"""Decides when instances that are missing from the discovery list are removed.
 
-A record may be missing because its upstream withdrew it, or because it lapsed while the store was
-away; upstreams whose records lapsed write them again soon after the store's return. What a host
-cannot tell from its own calls is which of the two it was: a path that was cut looks to it like a
-store that was away. Peers that the store answered all the while know better.
+A record may be missing because its upstream withdrew it, or because it expired during an outage of
+the store; in the second case the upstream writes it again soon after the outage. A host whose own
+path to the store failed cannot tell an outage by itself. Peers that the store kept answering can
+show that there was none.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 from swifttrestle.internal.state.peers import NEVER
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
-# Seconds after an outage in which lapsed upstreams may come back before they count as gone;
-# the platform promises about two.
+# Seconds after an outage in which upstreams may write expired records again; the platform specifies
+# about two.
 REREGISTRATION_SECONDS = 2.2
-# Seconds between looks at what is held back: a peer may prove meanwhile that there was no outage.
+# Poll interval in seconds of held back removals, since a peer may show that there was no outage.
 POLL_SECONDS = 0.2
 
 
 @dataclass(frozen=True)
-class _Held:
-    """A removal that is held back, and the list's revision that told it; times are the loop's."""
+class _HeldRemoval:
+    """A removal that is held back, and the revision that showed it; times are the loop's."""
 
     since: float
     until: float
@@ -33,67 +33,70 @@
 
 
 class Removals:
-    """Drops instances from the fleet, at once or when they had their time to come back."""
+    """Drops instances from the fleet, at once or after their time to register again."""
 
     def __init__(
         self, fleet: Fleet, changed: Callable[[], None], find_up_since: Callable[[], float]
     ) -> None:
-        """Drop from `fleet` and call `changed` where that happens later.
+        """Drop from `fleet`; call `changed` after a delayed removal.
 
         `find_up_since` returns the earliest time since when the store has answered some peer
-        without a break, infinite where no peer says so.
+        without interruption, or infinity if no peer reports one.
         """
         self._fleet = fleet
         self._changed = changed
         self._find_up_since = find_up_since
-        self._held: dict[str, _Held] = {}
-        self._lost_at = NEVER
-        self._returned_at = NEVER
-        # Until when entries may be missing that the copy lacks from which the store came back.
-        self._incomplete_until = NEVER
-        # Called with an instance that is dropped.
-        self.note_dropped: Callable[[str], None] = do_nothing
+        self._held: dict[str, _HeldRemoval] = {}
+        self._unreachable_since = NEVER
+        self._reachable_since = NEVER
+        # Until when entries may be missing that a restored store lacks.
+        self._restore_incomplete_until = NEVER
+        # Called with the name of each dropped instance.
+        self.on_dropped: Callable[[str], None] = do_nothing
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
         """Return how many removals are held back."""
         return len(self._held)
 
-    def note_loss(self, answered_at: float) -> None:
-        """Take over that the store stopped to answer this host after its last answer."""
-        self._lost_at = answered_at
+    def note_outage(self, answered_at: float) -> None:
+        """Record that the store stopped answering this host after `answered_at`."""
+        self._unreachable_since = answered_at
 
-    def note_return(self, now: float) -> None:
-        """Take over that the store answers this host again after a loss."""
-        self._returned_at = now
+    def note_outage_end(self, now: float) -> None:
+        """Record that the store answers this host again."""
+        self._reachable_since = now
 
-    def note_epoch(self, now: float) -> None:
-        """Take over that the store came back from a copy, whoever it answered meanwhile."""
-        self._incomplete_until = now + REREGISTRATION_SECONDS
+    def note_restore(self, now: float) -> None:
+        """Record that the store was restored from an older copy."""
+        self._restore_incomplete_until = now + REREGISTRATION_SECONDS
 
-    def find_trusted_from(self) -> float:
-        """Return the time from which a missing record is one that was withdrawn."""
-        by_own = max(self._returned_at + REREGISTRATION_SECONDS, self._incomplete_until)
-        return min(by_own, self._find_trusted_by_peers())
+    def find_trusted_at(self) -> float:
+        """Return the time from which a missing record counts as withdrawn."""
+        by_own_calls = max(
+            self._reachable_since + REREGISTRATION_SECONDS, self._restore_incomplete_until
+        )
+        return min(by_own_calls, self._find_trusted_at_by_peers())
 
-    def _find_trusted_by_peers(self) -> float:
-        """Return the time from which a missing record is withdrawn by what peers know."""
+    def _find_trusted_at_by_peers(self) -> float:
+        """Return the time from which a missing record counts as withdrawn, by peers' reports."""
         up_since = self._find_up_since()
-        # A peer that the store answered all the while shows that only this host's path was cut;
-        # without its word a host sent requests to an instance for 2.8 s after it had left.
-        by_peers = NEVER if up_since <= self._lost_at else up_since + REREGISTRATION_SECONDS
-        return max(by_peers, self._incomplete_until)
-
-    def restore(self, name: str) -> bool:
-        """Take over that an instance is listed; return whether its removal was held back."""
+        # A peer that the store kept answering shows that only this host's path had failed.
+        by_peers = (
+            NEVER if up_since <= self._unreachable_since else up_since + REREGISTRATION_SECONDS
+        )
+        return max(by_peers, self._restore_incomplete_until)
+
+    def cancel(self, name: str) -> bool:
+        """Record that an instance is listed; return whether its removal was held back."""
         return self._held.pop(name, None) is not None
 
     def remove(self, name: str, until: float, revision: StoreRevision) -> None:
-        """Drop an instance, at once or at the loop's time `until` if it is not listed again."""
+        """Drop an instance, at once or at the loop's time `until` unless it is listed by then."""
         if not self._fleet.knows(name):
             return
         now = self._now()
-        held = self._held.get(name, _Held(now, until, revision))
+        held = self._held.get(name, _HeldRemoval(now, until, revision))
         if now >= until:
             self._drop(name, held)
             return
@@ -101,31 +104,31 @@
             seconds = round(until - now, 2)
             log_event("removal held back", instance=name, seconds=seconds, revision=str(revision))
         self._held[name] = replace(held, until=min(until, held.until))
-        self._look_later()
+        self._schedule_check()
 
-    def _drop(self, name: str, held: _Held) -> None:
+    def _drop(self, name: str, held: _HeldRemoval) -> None:
         self._held.pop(name, None)
         if self._fleet.remove(name):
-            self.note_dropped(name)
+            self.on_dropped(name)
             seconds = round(self._now() - held.since, 2)
             log_event("instance gone", instance=name, revision=str(held.revision), held=seconds)
 
-    def _look_later(self) -> None:
+    def _schedule_check(self) -> None:
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(POLL_SECONDS, self._look)
+            self._timer = asyncio.get_running_loop().call_later(POLL_SECONDS, self._drop_due)
 
-    def _look(self) -> None:
-        """Drop what is due, by a timer: the next answer of the store may be seconds away."""
+    def _drop_due(self) -> None:
+        """Drop instances whose time is over, without waiting for the store's next answer."""
         self._timer = None
         now = self._now()
-        by_peers = self._find_trusted_by_peers()
+        by_peers = self._find_trusted_at_by_peers()
         due = {name: held for name, held in self._held.items() if now >= min(held.until, by_peers)}
         for name, held in due.items():
             self._drop(name, held)
         if due:
             self._changed()
         if self._held:
-            self._look_later()
+            self._schedule_check()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/swifttrestle/internal/coordination/restored_entries.py
+++ b/src/swifttrestle/internal/coordination/restored_entries.py
@@ -1,9 +1,9 @@
-"""Entries that stand in the list again since the store came back from an older copy.
+"""Finds outdated entries of the discovery list after the store was restored from an older copy.
 
-A copy may hold an upstream that was withdrawn since, and call one ready that has said since that it
-leaves. What this host knew counts against such an entry until its upstream has written it again,
-which shows by its revision. An upstream that lives checks in without changing its entry, so that
-one which still stands when it would have lapsed names a live one.
+The copy may hold an upstream that has been withdrawn since, or show one as ready that has announced
+since that it is draining. What this host knew takes precedence over such an entry until its
+upstream writes it again, which changes its revision. A live upstream may also check in without
+changing its entry, so an entry that is still listed after it would have expired is used as well.
 """
 
 from dataclasses import dataclass, replace
@@ -13,70 +13,72 @@
 from swifttrestle.internal.state.store_epochs import StoreRevision
 from swifttrestle.platform.objects import MalformedObject, Snapshot, StoredObject
 
-# Seconds for which a withdrawn instance is remembered: the oldest copy that a store comes back
-# from, and the time for which it may be away and this host not hear of it.
-WITHDRAWN_SECONDS = 30.0
-# Seconds after which an entry has lapsed whose upstream does not check in: the platform takes it
-# away after three silences of 1.2 s, the first of which may begin two seconds after the return.
-LAPSE_SECONDS = 6.0
+# Seconds for which a withdrawn instance is remembered: the maximum age of a copy, plus the time for
+# which the store may be unreachable.
+WITHDRAWN_MEMORY_SECONDS = 30.0
+# Seconds after a restore by which the platform has removed the entry of an upstream that no longer
+# checks in.
+EXPIRY_SECONDS = 6.0
 
 
 @dataclass(frozen=True)
-class _Copied:
-    """An entry that counts less than what was known, as it came back; `until` is the loop's."""
+class _OutdatedEntry:
+    """An outdated entry as it was restored; `until` is in the event loop's time."""
 
     revision: StoreRevision
     withdrawn: bool
     until: float
 
 
-class CopiedEntries:
-    """What was known of instances before a return, against the entries of the copy."""
+class RestoredEntries:
+    """Compares the entries of a restored store with what was known of their instances before."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Compare with the instances that `fleet` uses."""
         self._fleet = fleet
         self._withdrawn: dict[str, float] = {}
-        self._copied: dict[str, _Copied] = {}
+        self._outdated: dict[str, _OutdatedEntry] = {}
 
     def note_withdrawn(self, name: str, now: float) -> None:
-        """Take over that an instance is not used any more, since the list lacks it."""
+        """Record that an instance is no longer used, since the list lacks it."""
         self._withdrawn = {
-            item: at for item, at in self._withdrawn.items() if now - at < WITHDRAWN_SECONDS
+            item: at for item, at in self._withdrawn.items() if now - at < WITHDRAWN_MEMORY_SECONDS
         }
         self._withdrawn[name] = now
 
     def note_listed(self, name: str) -> None:
-        """Take over that an instance is used again."""
+        """Record that an instance is used again."""
         self._withdrawn.pop(name, None)
 
-    def begin(self, snapshot: Snapshot, now: float) -> list[str]:
-        """Take over the first list after a return; return the names that count less than known."""
-        self._copied.clear()
+    def record_restored_list(self, snapshot: Snapshot, now: float) -> list[str]:
+        """Record the first list after a restore; return the names of its outdated entries."""
+        self._outdated.clear()
         for item in snapshot.items:
-            if now - self._withdrawn.get(item.name, float("-inf")) < WITHDRAWN_SECONDS:
-                self._copied[item.name] = _Copied(item.revision, True, now + LAPSE_SECONDS)
+            if now - self._withdrawn.get(item.name, float("-inf")) < WITHDRAWN_MEMORY_SECONDS:
+                self._outdated[item.name] = _OutdatedEntry(
+                    item.revision, True, now + EXPIRY_SECONDS
+                )
             elif self._is_leaving(item.name):
-                self._copied[item.name] = _Copied(item.revision, False, float("inf"))
-        return sorted(self._copied)
+                self._outdated[item.name] = _OutdatedEntry(item.revision, False, float("inf"))
+        return sorted(self._outdated)
 
-    def drop_due(self, now: float) -> bool:
-        """Let go of entries that had time to lapse; return whether the list is to be read anew."""
-        before = len(self._copied)
-        self._copied = {name: item for name, item in self._copied.items() if now < item.until}
-        return len(self._copied) < before
+    def drop_expired(self, now: float) -> bool:
+        """Discard entries that would have expired by now; return whether to read the list again."""
+        before = len(self._outdated)
+        self._outdated = {name: item for name, item in self._outdated.items() if now < item.until}
+        return len(self._outdated) < before
 
-    def judge(
+    def resolve(
         self, item: StoredObject | MalformedObject, record: UpstreamRecord
     ) -> UpstreamRecord | None:
-        """Return what counts of an entry's record: None where it names no instance to use."""
-        copied = self._copied.get(item.name)
-        if copied is None or not isinstance(item, StoredObject):
+        """Return the record to use for an entry, or None if its instance is not to be used."""
+        outdated = self._outdated.get(item.name)
+        if outdated is None or not isinstance(item, StoredObject):
             return record
-        if item.revision != copied.revision:
-            del self._copied[item.name]
+        if item.revision != outdated.revision:
+            del self._outdated[item.name]
             return record
-        return None if copied.withdrawn else replace(record, leaving=True)
+        return None if outdated.withdrawn else replace(record, leaving=True)
 
     def _is_leaving(self, name: str) -> bool:
         known = self._fleet.find_start(name)
