--- a/tests/cover/test_entries.py
+++ b/tests/cover/test_entries.py
@@ -1,9 +1,7 @@
-"""Entries of other writers: each names no instance to use, and the others hold.
+"""Invalid entries of other writers: each is skipped, and the others are used.
 
-A stand-in of a careless writer left one entry without metadata among the upstreams. Each host's
-list and watch then failed whole ("a watch cannot be read: KeyError('metadata')"), so that no host
-learned of any change while it stood there: discovery read the list again and failed again. Of 24
-wrong records 15 were used as instances, among them one of state "banana".
+Guards against one malformed entry that makes every list and watch fail, and against invalid records
+that are used as instances.
 """
 
 import asyncio
@@ -36,24 +34,24 @@
     "models": [],
     "seq": 7,
 }
-GONE = "(left out)"
+OMITTED = "(left out)"
 
 
 def change(**fields):
     changed = {**GOOD, **fields}
-    return {name: value for name, value in changed.items() if value is not GONE}
+    return {name: value for name, value in changed.items() if value is not OMITTED}
 
 
 @pytest.mark.parametrize(
     ("field", "value"),
     [
-        *[("state", value) for value in ("banana", 3, None, GONE, "", ["ready"], True)],
-        *[("service", value) for value in (7, ["s"], "", None, GONE, {"a": 1}, "s\ud800")],
-        *[("zone", value) for value in ({"a": 1}, 4, "", GONE)],
-        *[("slots", value) for value in (-3, 0, True, 1e300, 4.5, "4", GONE, 10**9)],
+        *[("state", value) for value in ("banana", 3, None, OMITTED, "", ["ready"], True)],
+        *[("service", value) for value in (7, ["s"], "", None, OMITTED, {"a": 1}, "s\ud800")],
+        *[("zone", value) for value in ({"a": 1}, 4, "", OMITTED)],
+        *[("slots", value) for value in (-3, 0, True, 1e300, 4.5, "4", OMITTED, 10**9)],
         *[
             ("address", value)
-            for value in ("10.0.0.1:0", "engine.example:80", "10.0.0.1", ":80", 80, GONE)
+            for value in ("10.0.0.1:0", "engine.example:80", "10.0.0.1", ":80", 80, OMITTED)
         ],
         *[("address", value) for value in ("0.0.0.0:80", "224.0.0.1:80", "10.0.0.1:99999")],
         *[("phase", value) for value in ("reading", 1, ["decode"])],
@@ -65,7 +63,7 @@
     ],
     ids=repr,
 )
-def test_a_wrong_field_of_a_record_is_refused_by_its_name(field, value):
+def test_an_invalid_field_of_a_record_is_refused_by_name(field, value):
     with pytest.raises(BadEntryError) as caught:
         read_upstream("i", change(**{field: value}))
     assert caught.value.field == field
@@ -73,7 +71,7 @@
 
 
 @pytest.mark.parametrize("spec", [None, 7, "text", [], [GOOD], True])
-def test_a_record_that_is_no_map_is_refused(spec):
+def test_a_record_that_is_not_a_map_is_refused(spec):
     with pytest.raises(BadEntryError, match="no map"):
         read_upstream("i", spec)
 
@@ -82,13 +80,15 @@
     ("fields", "role", "leaving", "born"),
     [
         ({}, Role.DECODE, False, 0),
-        ({"phase": GONE, "models": GONE}, Role.NONE, False, 0),
+        ({"phase": OMITTED, "models": OMITTED}, Role.NONE, False, 0),
         ({"phase": None, "state": "draining"}, Role.NONE, True, 0),
         ({"born": 1764720000000, "something": "new"}, Role.DECODE, False, 1764720000000),
-        ({"seq": GONE, "version": GONE, "coldRemainingMs": 2.5}, Role.DECODE, False, 0),
+        ({"seq": OMITTED, "version": OMITTED, "coldRemainingMs": 2.5}, Role.DECODE, False, 0),
     ],
 )
-def test_a_good_record_is_read_whatever_else_it_holds(fields, role, leaving, born):
+def test_a_valid_record_is_read_with_unknown_or_missing_optional_fields(
+    fields, role, leaving, born
+):
     record = read_upstream("i", change(**fields))
     assert (record.role, record.leaving, record.born) == (role, leaving, born)
     assert record.address == ("10.0.0.1", 80)
@@ -98,7 +98,7 @@
     return {"metadata": {"name": name, "revision": revision}, "spec": spec}
 
 
-BAD_ITEMS = [
+MALFORMED_ITEMS = [
     {},
     {"spec": GOOD},
     {"metadata": None, "spec": GOOD},
@@ -124,8 +124,8 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2], ids=["first", "between", "last"])
-@pytest.mark.parametrize("item", BAD_ITEMS, ids=lambda item: repr(item)[:60])
-def test_a_bad_item_hides_no_other_one(item, place):
+@pytest.mark.parametrize("item", MALFORMED_ITEMS, ids=lambda item: repr(item)[:60])
+def test_an_invalid_item_does_not_hide_others(item, place):
     items = [make_item("a"), make_item("z")]
     items.insert(place, item)
     answer = b'{"items":%s,"hasMore":false,"timestamp":9}' % write(items)
@@ -143,13 +143,13 @@
     "raw",
     [None, [], {}, {"items": []}, {"items": 3, "timestamp": 1}, {"items": [], "timestamp": "x"}],
 )
-def test_an_answer_that_is_no_list_is_no_answer(raw):
+def test_an_answer_that_is_not_a_list_is_an_error(raw):
     with pytest.raises(BadPlatformAnswerError):
         objects.read_page("servers", raw)
 
 
 class PagedStore(DirectStore):
-    """Lists in pages of two, in which a test puts bad items."""
+    """Lists the pages that a test sets, with invalid items."""
 
     def __init__(self, pages):
         super().__init__()
@@ -170,14 +170,14 @@
         [[make_item("p0"), {"metadata": {"name": "p0", "revision": "x"}}], [make_item("p1")]],
     ],
 )
-def test_paging_goes_on_behind_a_bad_item(pages):
+def test_paging_continues_after_an_invalid_item(pages):
     snapshot = asyncio.run(PagedStore(pages).list("servers"))
     assert [item.name for item in snapshot.items] == ["p0", "p1"]
     assert len(snapshot.malformed) == 1
     assert snapshot.complete
 
 
-def test_a_page_without_any_name_ends_a_list_that_is_not_complete():
+def test_a_page_without_any_name_ends_the_list_as_incomplete():
     pages = [[make_item("p0")], [{}, None], [make_item("p2")]]
     snapshot = asyncio.run(PagedStore(pages).list("servers"))
     assert [item.name for item in snapshot.items] == ["p0"]
@@ -185,15 +185,15 @@
 
 
 class Host:
-    """One host's discovery, and what it skipped."""
+    """One host's discovery, with the fields that it skipped and the changes that it relayed."""
 
     def __init__(self):
         self.store = DirectStore()
         self.fleet = Fleet()
         self.skipped = []
-        self.told = []
+        self.relayed = []
         relay = Alone()
-        relay.send = self.told.append
+        relay.send = self.relayed.append
         relay.should_relay = lambda: True
         self.discovery = Discovery(
             self.store,
@@ -210,7 +210,7 @@
 
     async def run(self):
         task = asyncio.ensure_future(self.discovery.run())
-        # Past the time in which entries that lapsed before the start may come back.
+        # Past the time in which entries that expired before the start may be written again.
         await asyncio.sleep(5)
         return task
 
@@ -218,8 +218,8 @@
         return sorted(item.record.instance for item in self.fleet.list_service("s"))
 
 
-def test_an_entry_that_turns_wrong_names_no_instance_until_its_next_good_record():
-    async def story():
+def test_an_entry_that_becomes_invalid_is_not_used_until_its_next_valid_record():
+    async def scenario():
         host = Host()
         for name in ("a", "b"):
             host.put(name)
@@ -228,18 +228,18 @@
         host.put("a", state="banana")
         await asyncio.sleep(2)
         assert host.uses() == ["b"]
-        assert host.told[-1].removed == ("a",)
+        assert host.relayed[-1].removed == ("a",)
         host.put("a")
         await asyncio.sleep(2)
         assert host.uses() == ["a", "b"]
         assert host.skipped == ["state"]
         task.cancel()
 
-    run_in_virtual_time(story())
+    run_in_virtual_time(scenario())
 
 
-def test_a_wrong_entry_is_told_of_once_for_each_content():
-    async def story():
+def test_an_invalid_entry_is_counted_once_for_each_content():
+    async def scenario():
         host = Host()
         host.put("a", slots=-3)
         host.put("b")
@@ -254,26 +254,25 @@
         assert host.uses() == ["b"]
         task.cancel()
 
-    run_in_virtual_time(story())
+    run_in_virtual_time(scenario())
 
 
-def test_a_change_that_others_must_hear_of_is_told_although_a_second_one_follows_in_its_watch():
-    # A record said that its instance leaves, and then only that it was less cold; both came in one
-    # watch. The second change took the first out of what the host told the hosts that follow it.
-    async def story():
+def test_a_change_is_relayed_although_a_second_one_follows_in_the_same_watch():
+    # Guards against dropping a relayed change when a later one of the same watch is not relayed.
+    async def scenario():
         host = Host()
         host.put("a")
         task = await host.run()
         host.put("a", state="draining")
         host.put("a", state="draining", coldRemainingMs=40)
         await asyncio.sleep(2)
-        assert [record.leaving for message in host.told for record in message.records][-1]
+        assert [record.leaving for message in host.relayed for record in message.records][-1]
         task.cancel()
 
-    run_in_virtual_time(story())
+    run_in_virtual_time(scenario())
 
 
-def test_a_service_that_is_not_declared_is_kept_aside_until_it_is():
+def test_a_service_that_is_not_declared_is_not_used_until_it_is():
     fleet = Fleet()
     fleet.put(read_upstream("i", GOOD))
     fleet.declared = frozenset(("t",))
@@ -284,14 +283,14 @@
     assert fleet.list_engine_services() == ["s"]
 
 
-def test_a_field_that_an_upstream_has_told_may_not_be_missing_later():
+def test_a_start_time_that_was_written_once_may_not_be_missing_later():
     fleet = Fleet()
     skipped = []
     entries = UpstreamEntries(fleet, SkippedEntries(lambda kind, field: skipped.append(field)))
-    told = objects.StoredObject("servers", "i", StoreRevision(0, 1), change(born=5))
-    untold = objects.StoredObject("servers", "i", StoreRevision(0, 2), GOOD)
-    assert entries.read(told).born == 5
-    assert entries.read(untold) is None
+    with_start = objects.StoredObject("servers", "i", StoreRevision(0, 1), change(born=5))
+    without_start = objects.StoredObject("servers", "i", StoreRevision(0, 2), GOOD)
+    assert entries.read(with_start).born == 5
+    assert entries.read(without_start) is None
     assert skipped == ["born"]
-    entries.forget("i")
-    assert entries.read(untold).born == 0
+    entries.discard("i")
+    assert entries.read(without_start).born == 0
--- a/tests/cover/test_hosts.py
+++ b/tests/cover/test_hosts.py
@@ -1,4 +1,4 @@
-"""The host list as a proof of death."""
+"""When the host list shows that a host is gone."""
 
 from swifttrestle.errors import PlatformUnavailableError
 from swifttrestle.internal.coordination.hosts import HostTracker
@@ -9,7 +9,7 @@
 
 
 class Hosts:
-    """A host list that a test writes; None is an outage."""
+    """A host list that a test sets; None is an outage."""
 
     names = ("h1", "h2")
 
@@ -19,61 +19,61 @@
         return tuple(HostRecord(name, "z", "live") for name in self.names)
 
 
-def make_book():
+def make_tracker():
     hosts, clock = Hosts(), FakeClock()
-    book = HostTracker(hosts, clock, LAG)
-    book.refresh()
-    return hosts, clock, book
+    tracker = HostTracker(hosts, clock, LAG)
+    tracker.refresh()
+    return hosts, clock, tracker
 
 
-def pass_time(clock, book, seconds):
+def pass_time(clock, tracker, seconds):
     for _ in range(int(seconds)):
         clock.time += 1
-        book.refresh()
+        tracker.refresh()
 
 
-def test_a_listed_host_lives():
-    _, clock, book = make_book()
-    pass_time(clock, book, 50)
-    assert not book.is_gone("h1")
+def test_a_listed_host_is_not_gone():
+    _, clock, tracker = make_tracker()
+    pass_time(clock, tracker, 50)
+    assert not tracker.is_gone("h1")
 
 
-def test_a_host_off_the_list_is_gone_once_the_lag_has_passed():
-    hosts, clock, book = make_book()
+def test_an_unlisted_host_is_gone_once_the_lag_has_passed():
+    hosts, clock, tracker = make_tracker()
     hosts.names = ("h2",)
-    book.refresh()
-    assert not book.is_gone("h1")
-    pass_time(clock, book, LAG)
-    assert not book.is_gone("h1")
-    pass_time(clock, book, 1)
-    assert book.is_gone("h1")
+    tracker.refresh()
+    assert not tracker.is_gone("h1")
+    pass_time(clock, tracker, LAG)
+    assert not tracker.is_gone("h1")
+    pass_time(clock, tracker, 1)
+    assert tracker.is_gone("h1")
 
 
 def test_a_host_that_was_never_seen_is_gone_after_the_lag_as_well():
-    _, clock, book = make_book()
-    assert not book.is_gone("h9")
-    pass_time(clock, book, LAG + 1)
-    assert book.is_gone("h9")
+    _, clock, tracker = make_tracker()
+    assert not tracker.is_gone("h9")
+    pass_time(clock, tracker, LAG + 1)
+    assert tracker.is_gone("h9")
 
 
-def test_time_without_a_list_proves_nothing():
-    hosts, clock, book = make_book()
-    assert not book.is_gone("h9")
+def test_time_without_a_list_does_not_count():
+    hosts, clock, tracker = make_tracker()
+    assert not tracker.is_gone("h9")
     for names in (None, ()):
         hosts.names = names
-        pass_time(clock, book, 30)
-        assert not book.is_gone("h9")
+        pass_time(clock, tracker, 30)
+        assert not tracker.is_gone("h9")
     hosts.names = ("h1",)
-    book.refresh()
-    assert not book.is_gone("h9")
-    pass_time(clock, book, LAG + 1)
-    assert book.is_gone("h9")
-
-
-def test_a_host_that_comes_back_lives():
-    _, clock, book = make_book()
-    book.is_gone("h9")
-    pass_time(clock, book, LAG + 1)
-    book._hosts.names = ("h1", "h9")
-    book.refresh()
-    assert not book.is_gone("h9")
+    tracker.refresh()
+    assert not tracker.is_gone("h9")
+    pass_time(clock, tracker, LAG + 1)
+    assert tracker.is_gone("h9")
+
+
+def test_a_host_that_is_listed_again_is_not_gone():
+    _, clock, tracker = make_tracker()
+    tracker.is_gone("h9")
+    pass_time(clock, tracker, LAG + 1)
+    tracker._hosts.names = ("h1", "h9")
+    tracker.refresh()
+    assert not tracker.is_gone("h9")
--- a/tests/cover/test_kept_parts.py
+++ b/tests/cover/test_kept_parts.py
@@ -1,4 +1,4 @@
-"""What a host that starts takes over of engines' own lists of kept parts."""
+"""What a starting host loads from engines' lists of cached prompt parts."""
 
 import asyncio
 import random
@@ -6,7 +6,10 @@
 import pytest
 
 from swifttrestle.errors import UpstreamBrokenError
-from swifttrestle.internal.coordination.prompt_cache_loader import MOST_ASKED, PromptCacheLoader
+from swifttrestle.internal.coordination.prompt_cache_loader import (
+    MAX_QUERIED_ENGINES,
+    PromptCacheLoader,
+)
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle.internal.state.prompt_cache import PromptPart
@@ -17,7 +20,7 @@
 LIST = b'{"epoch": 1, "nextPageToken": 7, "held": [["", "aa", 4000, "m"], ["", "bb", 30, "m"]]}'
 
 
-def test_an_engines_list_is_decoded_under_the_names_of_bookings():
+def test_an_engines_list_is_read_with_the_part_names_that_bookings_use():
     assert read_cached_parts(LIST).parts == (PromptPart("m/aa", 4000), PromptPart("m/bb", 30))
 
 
@@ -40,10 +43,10 @@
 def run_loader(answer, schedules_engines=True, engines=1, pieces=1):
     """Load from engines that answer these bytes, in pieces with a pause of 0.2 s between them.
 
-    Return the fleet and the calls that the engines got.
+    Return the fleet and the requests that the engines received.
     """
 
-    async def whole():
+    async def run_all():
         calls = []
 
         async def serve(reader, writer):
@@ -70,14 +73,14 @@
         server.close()
         return fleet, calls
 
-    return asyncio.run(whole())
+    return asyncio.run(run_all())
 
 
 def frame(status, body):
     return b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body
 
 
-def test_a_host_that_starts_believes_what_engines_tell():
+def test_a_starting_host_records_the_parts_that_engines_list():
     fleet, calls = run_loader(frame(200, LIST))
     prompt = (PromptPart("m/aa", 4000), PromptPart("m/bb", 30), PromptPart("m/own", 9))
     assert fleet.instances["e0"].cache.count_read(prompt) == 4030
@@ -86,8 +89,7 @@
 
 
 def test_a_list_that_arrives_slowly_is_read_to_its_end():
-    # A list has up to a megabyte and had half a second for its whole, like the versions that a
-    # thin link never brought to their end; here it takes a second.
+    # Guards against a timeout for the whole list, which slow links exceed.
     fleet, _ = run_loader(frame(200, LIST), pieces=6)
     assert fleet.instances["e0"].cache.count((PromptPart("m/aa", 4000),)) == 4000
 
@@ -97,14 +99,16 @@
     [frame(429, b"{}"), frame(200, b"[]"), b"no answer\r\n\r\n"],
     ids=["429", "[]", "noise"],
 )
-def test_an_engine_that_does_not_tell_counts_as_empty(answer):
+def test_an_engine_without_a_readable_list_counts_as_empty(answer):
     fleet, _ = run_loader(answer)
     assert fleet.instances["e0"].cache.count((PromptPart("m/aa", 4000),)) == 0
 
 
-def test_a_host_for_which_others_book_asks_nobody():
+def test_a_host_that_does_not_schedule_engines_queries_none():
     assert run_loader(frame(200, LIST), schedules_engines=False)[1] == []
 
 
-def test_no_host_asks_all_engines_of_a_large_fleet():
-    assert len(run_loader(frame(200, LIST), engines=3 * MOST_ASKED)[1]) == MOST_ASKED
+def test_a_host_queries_a_limited_number_of_engines():
+    assert (
+        len(run_loader(frame(200, LIST), engines=3 * MAX_QUERIED_ENGINES)[1]) == MAX_QUERIED_ENGINES
+    )
--- a/tests/cover/test_other_writers.py
+++ b/tests/cover/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Whatever others write is taken or refused with a typed error, and all other entries hold."""
+"""Any input of other writers is read or refused with a typed error, without affecting the rest."""
 
 import json
 
@@ -35,7 +35,6 @@
 from swifttrestle.platform.engine import read_cached_parts, read_handle, read_report
 from swifttrestle.platform.records import read_configuration, read_upstream
 
-# Each example is found again by its seed alone, and takes under a millisecond.
 SEEDED = settings(derandomize=True, max_examples=300, deadline=None, database=None)
 
 LEAVES = (
@@ -59,7 +58,7 @@
     "state": "ready", "coldRemainingMs": 0, "phase": "decode", "models": [], "seq": 7,
     "born": 1764720000000,
 }  # fmt: skip
-# Good entries of which some fields hold something else, or are left out.
+# Valid entries with some fields replaced or left out.
 ENTRIES = st.builds(
     lambda changed, dropped: {k: v for k, v in {**GOOD, **changed}.items() if k not in dropped},
     st.dictionaries(st.sampled_from(sorted(GOOD)), JSON, max_size=3),
@@ -84,7 +83,7 @@
 
 
 def is_plain(value):
-    """Whether JSON holds the value as it is."""
+    """Return whether the value survives JSON unchanged."""
     try:
         return orjson.loads(orjson.dumps(value)) == value
     except (TypeError, ValueError):
@@ -93,7 +92,7 @@
 
 @SEEDED
 @given(JSON | ENTRIES)
-def test_an_entry_is_a_whole_record_or_a_typed_refusal(spec):
+def test_an_entry_is_read_as_a_complete_record_or_refused(spec):
     try:
         record = read_upstream("i", spec)
     except BadEntryError as error:
@@ -111,10 +110,10 @@
     ),
     st.data(),
 )
-def test_among_any_items_the_good_ones_hold(strays, data):
-    strays = [item for item in strays if is_plain(item)]
+def test_valid_items_are_read_among_any_others(others, data):
+    others = [item for item in others if is_plain(item)]
     good = [make_item(name, GOOD) for name in ("g0", "g1")]
-    items = data.draw(st.permutations([*strays, *good]))
+    items = data.draw(st.permutations([*others, *good]))
     raw = objects.decode_answer("/", write({"items": items, "timestamp": 1}))
     page = objects.read_page("servers", raw)
     entries = UpstreamEntries(Fleet(), SkippedEntries(lambda kind, field: None))
@@ -129,19 +128,19 @@
 
 @SEEDED
 @given(st.binary(max_size=40))
-def test_bytes_of_one_entry_hide_no_other(content):
-    # A text that is no UTF-8 ends where the next quotation mark stands, so those are left out.
+def test_any_bytes_in_one_entry_do_not_hide_another(content):
+    # A string that is not UTF-8 ends at the next quotation mark, so those are left out.
     text = content.replace(b'"', b"").replace(b"\\", b"")
-    stray = b'{"metadata":{"name":"x","revision":1},"spec":{"service":"%s"}}' % text
+    other = b'{"metadata":{"name":"x","revision":1},"spec":{"service":"%s"}}' % text
     good = write(make_item("g", GOOD))
-    raw = objects.decode_answer("/", b'{"items":[%s,%s],"timestamp":1}' % (stray, good))
+    raw = objects.decode_answer("/", b'{"items":[%s,%s],"timestamp":1}' % (other, good))
     page = objects.read_page("servers", raw)
     assert page.items[-1].name == "g"
 
 
 @SEEDED
 @given(st.binary(max_size=60) | JSON.map(write))
-def test_an_answer_of_the_store_is_read_or_refused(content):
+def test_any_answer_of_the_store_is_read_or_refused(content):
     for read in (objects.read_page, objects.read_changes):
         try:
             read("servers", objects.decode_answer("/", content))
@@ -151,7 +150,7 @@
 
 @SEEDED
 @given(st.binary(max_size=60) | JSON.map(write))
-def test_an_engines_answer_is_read_or_counts_as_broken(content):
+def test_any_answer_of_an_engine_is_read_or_counts_as_broken(content):
     for read in (read_report, read_handle, read_cached_parts):
         try:
             read(content)
@@ -166,7 +165,7 @@
         {"version": JSON, "routes": st.lists(ROUTES | JSON, max_size=2), "services": JSON}
     )
 )
-def test_a_configuration_is_in_force_whole_or_refused(spec):
+def test_any_configuration_is_read_completely_or_refused(spec):
     try:
         configuration = read_configuration(spec)
     except BadEntryError:
@@ -180,7 +179,7 @@
     JSON
     | st.fixed_dictionaries({"holder": JSON, "incarnation": JSON, "token": JSON, "orders": JSON})
 )
-def test_a_lease_is_read_whole_or_refused(spec):
+def test_any_lease_is_read_completely_or_refused(spec):
     try:
         lease = read_duty_lease(spec)
     except BadEntryError:
@@ -199,8 +198,8 @@
 ASK = BookingQuery(1, BookingRequest("s", "a", 10, "p", 0, True, 1.0, 0.1, 0.1))
 
 
-def spoil(data):
-    """Return a message's values, some replaced by others."""
+def replace_values(data):
+    """Return datagrams of a message with some values replaced."""
     values = msgpack.unpackb(data)
     changes = st.dictionaries(st.integers(0, len(values) - 1), JSON, max_size=3)
     return changes.map(lambda new: pack([new.get(n, value) for n, value in enumerate(values)]))
@@ -225,11 +224,11 @@
 @SEEDED
 @given(
     data=DATAGRAMS
-    | spoil(pack_report(REPORT))
-    | spoil(pack_message("h", ASK))
+    | replace_values(pack_report(REPORT))
+    | replace_values(pack_message("h", ASK))
     | st.lists(JSON, min_size=1, max_size=9).map(pack)
 )
-def test_a_datagram_is_read_or_refused_with_a_frame_error(unpack, data):
+def test_any_datagram_is_read_or_refused_with_a_frame_error(unpack, data):
     try:
         unpack(data)
     except FrameError:
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -1,7 +1,6 @@
-"""How soon all hosts know of a request that crashes upstreams, and what the telling costs.
+"""How soon all hosts know of a request that crashes upstreams, and how many datagrams that costs.
 
-The hosts are the real relays and guards; the network between them delays, loses and cuts datagrams
-in virtual time.
+Uses real relays and guards with a simulated network in virtual time.
 """
 
 import asyncio
@@ -12,7 +11,7 @@
 from swifttrestle.internal.coordination import quarantine_relay
 from swifttrestle.internal.coordination.quarantine_relay import (
     PUSH_SECONDS,
-    SLEPT_SECONDS,
+    SUSPENDED_SECONDS,
     QuarantineRelay,
 )
 from swifttrestle.internal.forward.crash_guard import CrashGuard
@@ -24,11 +23,11 @@
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
-# Seconds that a datagram takes at most, and within which all hosts must know.
+# Longest delay of a datagram in seconds.
 DATAGRAM_SECONDS = 0.02
+# Seconds within which all hosts must know of a crash.
 BOUND_SECONDS = 3.0
-# Datagrams of one crash with 48 open requests, at most: a small fleet tells all, a large one two
-# keepers for each request.
+# Datagrams of one crash with 48 open requests in a large fleet, at most: two owners of each record.
 DATAGRAMS_PER_CRASH = 2 * 48 * (1 + quarantine_relay.TOLD_AGAIN)
 
 
@@ -67,7 +66,7 @@
 
 
 class Host:
-    """A guard and its relay; it sees what `see_crash` tells it."""
+    """A guard and its relay."""
 
     def __init__(self, network, member, members, seed):
         rng = random.Random(f"{seed} {member.host}")
@@ -81,8 +80,8 @@
     def change(self):
         self.changes += 1
 
-    def see_crash(self, names, start):
-        """Take over that an upstream ended, as a look at its address tells it."""
+    def observe_crash(self, names, start):
+        """Report a crash of an upstream as this host would observe it."""
         self.guard.report_crash(names, Crash(start, now()))
 
     def refuses(self, name):
@@ -128,56 +127,56 @@
 @pytest.mark.parametrize("lost_share", [0.0, 0.3], ids=["all arrive", "three in ten are lost"])
 @pytest.mark.parametrize("count", [2, 8, 65, 195])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_all_hosts_know_of_crashes_that_different_hosts_saw(count, lost_share, seed):
+def test_all_hosts_learn_of_crashes_that_different_hosts_saw(count, lost_share, seed):
     async def work():
         network, hosts = make_hosts(count, seed, lost_share)
-        seers = random.Random(seed).sample(hosts, 2)
+        observers = random.Random(seed).sample(hosts, 2)
 
-        async def story():
+        async def scenario():
             await asyncio.sleep(5 * PUSH_SECONDS)
-            for number, host in enumerate(seers):
-                host.see_crash([make_name()], f"i-{number}")
+            for number, host in enumerate(observers):
+                host.observe_crash([make_name()], f"i-{number}")
             return await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
 
-        return await with_relays(hosts, story())
+        return await with_relays(hosts, scenario())
 
     seconds = run_in_virtual_time(work())
-    # Without losses by two words and one that tells all, with them by what is told again.
+    # With losses the repeated and periodic messages are needed.
     assert seconds <= (0.1 if not lost_share else BOUND_SECONDS)
 
 
 @pytest.mark.parametrize("count", [8, 65, 195])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_hosts_that_were_cut_off_know_soon_after_they_are_back(count, seed):
+def test_hosts_that_were_cut_off_learn_of_crashes_soon_after_they_are_back(count, seed):
     async def work():
         network, hosts = make_hosts(count, seed)
 
-        async def story():
+        async def scenario():
             network.cut = {host.member.ip for host in hosts if host.member.zone == "z0"}
             outside = [host for host in hosts if host.member.zone != "z0"]
             for number, host in enumerate(outside[:2]):
-                host.see_crash([make_name()], f"i-{number}")
+                host.observe_crash([make_name()], f"i-{number}")
             await wait_for(lambda: all(host.refuses(make_name()) for host in outside))
             await asyncio.sleep(2.0)
             network.cut = set()
             return await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
 
-        return await with_relays(hosts, story())
+        return await with_relays(hosts, scenario())
 
     assert run_in_virtual_time(work()) <= BOUND_SECONDS
 
 
 @pytest.mark.parametrize("count", [8, 195])
-def test_a_host_that_has_started_asks(count):
+def test_a_host_that_has_started_requests_records(count):
     async def work():
         network, hosts = make_hosts(count, 1)
         late = hosts[-1]
 
-        async def story():
+        async def scenario():
             late_receiver = network.receivers[late.member.ip]
             network.receivers[late.member.ip] = lambda *_: None
-            hosts[0].see_crash([make_name()], "i-0")
-            hosts[0].see_crash([make_name()], "i-1")
+            hosts[0].observe_crash([make_name()], "i-0")
+            hosts[0].observe_crash([make_name()], "i-1")
             await wait_for(lambda: all(host.refuses(make_name()) for host in hosts[:-1]))
             network.receivers[late.member.ip] = late_receiver
             task = asyncio.ensure_future(late.relay.run())
@@ -185,24 +184,24 @@
             task.cancel()
             return seconds
 
-        return await with_relays(hosts[:-1], story())
+        return await with_relays(hosts[:-1], scenario())
 
     assert run_in_virtual_time(work()) <= PUSH_SECONDS + 3 * DATAGRAM_SECONDS
 
 
 @pytest.mark.parametrize("count", [8, 195])
-def test_an_answer_anywhere_lets_a_request_go_everywhere(count):
+def test_an_answer_at_one_host_clears_the_request_at_all_hosts(count):
     async def work():
         network, hosts = make_hosts(count, 1)
 
-        async def story():
+        async def scenario():
             for number in range(2):
-                hosts[0].see_crash([make_name()], f"i-{number}")
+                hosts[0].observe_crash([make_name()], f"i-{number}")
             await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
             hosts[-1].guard.clear_crashes(make_name())
             return await wait_for(lambda: not any(host.refuses(make_name()) for host in hosts))
 
-        seconds = await with_relays(hosts, story())
+        seconds = await with_relays(hosts, scenario())
         return seconds, max(len(host.guard.quarantine) for host in hosts)
 
     seconds, left = run_in_virtual_time(work())
@@ -211,14 +210,14 @@
 
 
 @pytest.mark.parametrize("count", [8, 195])
-def test_a_host_that_missed_an_answer_hears_of_it_with_its_own_next_word(count):
-    # Its word of the quarantine tells others that it goes on refusing.
+def test_a_host_that_missed_a_clearance_receives_it_after_its_own_next_message(count):
+    # Its periodic message shows others that it still refuses the request.
     async def work():
         network, hosts = make_hosts(count, 1)
 
-        async def story():
+        async def scenario():
             for number in range(2):
-                hosts[0].see_crash([make_name()], f"i-{number}")
+                hosts[0].observe_crash([make_name()], f"i-{number}")
             await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
             await asyncio.sleep((quarantine_relay.TOLD_AGAIN + 1) * PUSH_SECONDS)
             network.lost_share = 0.5
@@ -229,7 +228,7 @@
             seconds = await wait_for(lambda: not any(host.refuses(make_name()) for host in hosts))
             return missed, seconds
 
-        return await with_relays(hosts, story())
+        return await with_relays(hosts, scenario())
 
     missed, seconds = run_in_virtual_time(work())
     assert missed > 0
@@ -237,13 +236,12 @@
 
 
 @pytest.mark.parametrize("count", [8, 195, 790])
-def test_a_crash_of_a_full_engine_is_told_with_few_datagrams(count):
-    # 48 requests were open, each at another host as far as there are so many. If each host told all
-    # others, one crash would be 38,000 datagrams at 790 hosts.
+def test_a_crash_of_a_full_engine_is_sent_in_few_datagrams(count):
+    # Guards against each host notifying all others of its own open request.
     async def work():
         network, hosts = make_hosts(count, 1)
         for number in range(48):
-            hosts[number % count].see_crash([make_name(number)], "i-0")
+            hosts[number % count].observe_crash([make_name(number)], "i-0")
         await asyncio.sleep(1.0)
         return network.sent, is_large_fleet(count)
 
@@ -252,59 +250,59 @@
 
 
 @pytest.mark.parametrize("count", [8, 195])
-def test_hosts_say_nothing_while_nothing_is_quarantined(count):
+def test_hosts_send_nothing_while_nothing_is_quarantined(count):
     async def work():
         network, hosts = make_hosts(count, 1)
 
-        async def story():
+        async def scenario():
             await asyncio.sleep(10 * PUSH_SECONDS)
-            asked = network.sent
-            hosts[0].see_crash([make_name()], "i-0")
+            sync_messages = network.sent
+            hosts[0].observe_crash([make_name()], "i-0")
             await asyncio.sleep((quarantine_relay.TOLD_AGAIN + 1) * PUSH_SECONDS)
-            told = network.sent
+            sent_before = network.sent
             await asyncio.sleep(20.0)
-            return asked, network.sent - told
+            return sync_messages, network.sent - sent_before
 
-        return await with_relays(hosts, story())
+        return await with_relays(hosts, scenario())
 
-    asked, later = run_in_virtual_time(work())
-    # A few questions after the start, and no word of one crash again.
-    assert asked <= count * quarantine_relay.ASKS * quarantine_relay.PUSHED_HOSTS
+    sync_messages, later = run_in_virtual_time(work())
+    # Some sync requests after the start, and no further messages for a single crash.
+    assert sync_messages <= count * quarantine_relay.SYNC_REQUESTS * quarantine_relay.PUSHED_HOSTS
     assert later == 0
 
 
-def test_what_is_told_again_costs_a_host_under_three_kilobytes_a_second():
+def test_periodic_messages_cost_a_host_under_three_kilobytes_a_second():
     async def work():
         network, hosts = make_hosts(20, 1)
 
-        async def story():
+        async def scenario():
             for number in range(200):
                 for start in ("i-7f3a91c2aa@1764720000000", "i-02d9e6b4bb@1764720000000"):
-                    hosts[0].see_crash([make_name(number)], start)
+                    hosts[0].observe_crash([make_name(number)], start)
             await asyncio.sleep(FIRST_QUARANTINE_SECONDS / 2)
             before = network.bytes
             await asyncio.sleep(4.0)
             return (network.bytes - before) / 4.0 / len(hosts)
 
-        return await with_relays(hosts, story())
+        return await with_relays(hosts, scenario())
 
     assert 0 < run_in_virtual_time(work()) < 3000
 
 
-def test_a_host_that_slept_asks():
+def test_a_host_that_was_suspended_requests_records():
     async def work():
         network, hosts = make_hosts(8, 1)
-        sleeper = hosts[-1]
+        suspended = hosts[-1]
 
-        async def story():
+        async def scenario():
             await asyncio.sleep(5 * PUSH_SECONDS)
-            assert sleeper.relay._asks == 0
-            # All of its timers come late by as long as it slept.
+            assert suspended.relay._sync_requests_left == 0
+            # All of its timers are late by the time of the suspension.
             loop = asyncio.get_running_loop()
-            loop._jumping.now += SLEPT_SECONDS + 0.1
+            loop._jumping.now += SUSPENDED_SECONDS + 0.1
             await asyncio.sleep(0)
-            await wait_for(lambda: sleeper.relay._asks > 0)
+            await wait_for(lambda: suspended.relay._sync_requests_left > 0)
 
-        await with_relays(hosts, story())
+        await with_relays(hosts, scenario())
 
     run_in_virtual_time(work())
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -1,4 +1,4 @@
-"""Keys that were taken away: what a belief in them may rest on, and for how long."""
+"""Removed keys: by which confirmations keys may be served, and for how long."""
 
 import pytest
 from hypothesis import given
@@ -26,47 +26,51 @@
 from tests.cover.test_platform_adapter import GOOD, ROUTE
 
 BOUND = 5.0
-YOUNG, OLD = 1.0, 4.95
+FRESH_AGE, OLD_AGE = 1.0, 4.95
 
 
 @pytest.mark.parametrize(
     ("known", "age", "bound", "wanted"),
     [
-        (True, YOUNG, BOUND, Verdict.ALLOWED),
+        (True, FRESH_AGE, BOUND, Verdict.ALLOWED),
         (True, BOUND - revocation.CLOCK_MARGIN, BOUND, Verdict.ALLOWED),
-        (True, OLD, BOUND, Verdict.UNCONFIRMED),
+        (True, OLD_AGE, BOUND, Verdict.UNCONFIRMED),
         (True, float("inf"), BOUND, Verdict.UNCONFIRMED),
         (True, float("inf"), float("inf"), Verdict.ALLOWED),
-        (False, YOUNG, BOUND, Verdict.UNKNOWN),
-        # It may be newer than the version here, and 401 would be final for its caller.
+        (False, FRESH_AGE, BOUND, Verdict.UNKNOWN),
+        # The key may be newer than this host's version, and a 401 would be final for its caller.
         (False, revocation.UNKNOWN_KEY_SECONDS + 0.1, BOUND, Verdict.UNCONFIRMED),
         (False, float("inf"), float("inf"), Verdict.UNCONFIRMED),
     ],
 )
-def test_a_key_is_judged_by_what_is_known_and_by_how_old_that_is(known, age, bound, wanted):
+def test_a_key_is_judged_by_the_configuration_and_the_age_of_its_confirmation(
+    known, age, bound, wanted
+):
     assert check_key(known, age, bound) is wanted
 
 
 @pytest.mark.parametrize(
-    ("here", "proofs", "later", "wanted"),
+    ("here", "confirmations", "later", "wanted"),
     [
         (0, [], 0, NEVER),
         (3, [(3, 10.0)], 3, 10.0),
         (3, [(3, 10.0), (3, 9.0)], 3, 10.0),
-        # What a later version took away, it took away after the proof of the earlier one.
+        # A later version removed keys only after the confirmation of the earlier one.
         (4, [(3, 10.0)], 4, 10.0),
-        # A proof of a version that is not here yet counts once it is.
+        # A confirmation of a version that this host lacks counts once it has that version.
         (3, [(3, 10.0), (4, 12.0)], 3, 10.0),
         (3, [(3, 10.0), (4, 12.0)], 4, 12.0),
         (3, [(4, 12.0), (5, 13.0)], 4, NEVER),
         (3, [(0, 12.0)], 3, NEVER),
     ],
 )
-def test_a_proof_counts_for_its_version_and_for_later_ones(here, proofs, later, wanted):
+def test_a_confirmation_counts_for_its_version_and_for_later_ones(
+    here, confirmations, later, wanted
+):
     version = [here]
     freshness = ConfigurationFreshness(lambda: version[0])
-    for proof in proofs:
-        freshness.note(*proof)
+    for confirmation in confirmations:
+        freshness.note(*confirmation)
     version[0] = later
     assert freshness.confirmed_at == wanted
 
@@ -83,26 +87,26 @@
         return now + self.clock_ahead
 
     def read(self, store, sent, answered):
-        """Read the store; the answer is made between its sending and its use."""
+        """Read the store; the response is made at `answered`, before this is called."""
         version = store.version_at(answered)
         self.version = max(self.version, version)
         self.freshness.note(version, self.clock(sent))
 
     def ask(self, peer, sent, answered):
-        """Ask a peer whose version has come here by the time of its answer."""
+        """Query a peer whose version has arrived here by the time of its reply."""
         age = peer.clock(answered) - peer.freshness.confirmed_at
         if peer.freshness.confirmed_at == NEVER:
             return
         self.freshness.note(peer.version, self.clock(sent) - age)
 
     def takes_key(self, now):
-        """Return whether a request with the key that version 2 takes away is served."""
+        """Return whether a request with the key that version 2 removes is served."""
         age = self.clock(now) - self.freshness.confirmed_at
         return check_key(self.version < 2, age, BOUND) is Verdict.ALLOWED
 
 
 class Store:
-    """A store whose operator takes the key away at a time."""
+    """A store whose operator removes the key at a given time."""
 
     def __init__(self, removed_at):
         self.removed_at = removed_at
@@ -122,14 +126,14 @@
     ahead=st.lists(st.floats(-1000, 1000), min_size=3, max_size=3),
     steps=st.lists(STEPS, max_size=25),
 )
-def test_no_key_is_served_beyond_its_bound_whatever_is_delayed_or_stands_still(
+def test_no_key_is_served_beyond_its_bound_whatever_is_delayed_or_suspended(
     removed_at, ahead, steps
 ):
-    """Any order of reads, questions, delays and hosts that stand still on the way of an answer.
+    """Any order of reads, queries and delays, with hosts that are suspended meanwhile.
 
     A message is sent, answered some time later, and used some time after that: a host that is
-    frozen, suspended or cut off finds old answers in its sockets. The request is sent just before
-    it is received; where it waited too, its sender is further back still.
+    suspended or cut off finds old replies in its sockets. The request is sent just before it is
+    received; a delay of the request would only make it older.
     """
     store = Store(removed_at)
     hosts = [Host(item) for item in ahead]
@@ -141,28 +145,28 @@
         if what == "read":
             host.read(store, sent, answered)
         elif what == "ask" and one != other:
-            # The peer's state of now stands for that of its answer: at that time it knew less.
+            # Uses the peer's present state, which is at least as new as at the time of its reply.
             host.ask(hosts[other], sent, min(answered, now))
         elif what == "serve" and host.takes_key(now):
             assert now <= removed_at + BOUND
 
 
-def test_the_waits_of_a_calm_day_leave_the_bound_room_for_an_outage():
-    """The sum in docs/INVARIANTS.md: a proof's age at most, with one lost question."""
-    jitter = 1 + freshness_monitor.JITTER_SHARE / 2
-    ask = BOUND * freshness_monitor.QUERY_INTERVAL_SHARE * jitter
-    calm = BOUND * freshness_monitor.READ_INTERVAL_SHARE * jitter + ask
-    assert calm <= 1.9
-    # A host that lost one question asks everywhere with the next one.
-    assert calm + ask >= BOUND * freshness_monitor.WIDEN_AGE_SHARE
-    # What is left of the bound for an outage of the store in which no request is refused.
-    assert BOUND - revocation.CLOCK_MARGIN - calm >= 3.0
+def test_the_intervals_leave_time_for_an_outage_within_the_bound():
+    """Check the sum in docs/INVARIANTS.md: the maximum age of a confirmation, one query lost."""
+    max_jitter = 1 + freshness_monitor.JITTER_SHARE / 2
+    query_interval = BOUND * freshness_monitor.QUERY_INTERVAL_SHARE * max_jitter
+    max_age = BOUND * freshness_monitor.READ_INTERVAL_SHARE * max_jitter + query_interval
+    assert max_age <= 1.9
+    # A host whose query was lost queries all zones with the next one.
+    assert max_age + query_interval >= BOUND * freshness_monitor.WIDEN_AGE_SHARE
+    # The rest of the bound covers an outage of the store in which no request is refused.
+    assert BOUND - revocation.CLOCK_MARGIN - max_age >= 3.0
 
 
 @pytest.mark.parametrize(
     "message", [FreshnessQuery(12.5, 1.7e9), FreshnessReply(12.5, 7, 0.25, 1.7e9)]
 )
-def test_questions_and_answers_are_read_as_they_were_written(message):
+def test_queries_and_replies_are_read_as_they_were_written(message):
     pack = pack_freshness_query if isinstance(message, FreshnessQuery) else pack_freshness_reply
     assert unpack_freshness(pack(message)) == message
 
@@ -180,7 +184,7 @@
         pack_freshness_reply(FreshnessReply(1.0, 1, float("inf"), 1.0)),
     ],
 )
-def test_a_datagram_that_is_no_question_and_no_answer_is_refused(data):
+def test_a_datagram_that_is_neither_query_nor_reply_is_refused(data):
     with pytest.raises(FrameError):
         unpack_freshness(data)
 
@@ -194,25 +198,25 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "own", "wanted"),
+    ("clocks", "own", "wanted"),
     [
         ([], 1000.0, 1000.0),
         ([1000.1, 1000.2], 1000.0, 1000.1),
-        # Clocks of single hosts jump, this host's own among them.
+        # The clocks of single hosts may jump, including this host's own.
         ([1000.0, 1000.0], 1002.0, 1000.0),
         ([1002.0, 1000.0], 1000.0, 1000.0),
     ],
 )
-def test_the_time_of_day_is_what_most_hosts_take_it_to_be(words, own, wanted):
+def test_the_time_of_day_is_the_median_of_the_hosts_clocks(clocks, own, wanted):
     clock = [50.0]
     true_time = MedianClock(lambda: clock[0], lambda: own + clock[0] - 50.0)
-    for number, wall in enumerate(words):
+    for number, wall in enumerate(clocks):
         true_time.note(f"h{number}", wall)
     clock[0] += 1.0
     assert true_time.now() == pytest.approx(wanted + 1.0)
 
 
-# Workspaces as operators declare them.
+# Declared workspaces.
 
 SECRET = "k-very-secret"
 
@@ -245,7 +249,7 @@
         {"name": "club", "apiKeys": [SECRET], "priority": True},
     ],
 )
-def test_a_wrong_workspace_is_refused_without_showing_a_key(raw):
+def test_an_invalid_workspace_is_refused_without_showing_a_key(raw):
     with pytest.raises(BadEntryError) as refusal:
         read_workspaces(raw)
     assert SECRET not in str(refusal.value)
@@ -258,14 +262,14 @@
     assert SECRET not in str(refusal.value)
 
 
-def test_a_wrong_entry_beside_workspaces_shows_no_key():
+def test_an_invalid_entry_beside_workspaces_shows_no_key():
     raw = {"name": "club", "apiKeys": [SECRET]}
     with pytest.raises(BadEntryError) as refusal:
         read_workspaces(raw, routes=[{"name": "r"}])
     assert SECRET not in str(refusal.value)
 
 
-def test_a_key_finds_its_workspace_and_no_other_does():
+def test_only_the_exact_key_finds_its_workspace():
     keys = WorkspaceKeys([Workspace("club", frozenset({digest_key(b"one")}), 1)])
     assert keys.find(b"one").name == "club"
     for wrong in (b"", b"on", b"one ", b"x" * 10_000, b"\xff"):
@@ -276,7 +280,7 @@
     ("route_priority", "workspace", "wanted"),
     [(0, 0, True), (0, 1, False), (2, 0, True), (0, None, True), (2, None, False)],
 )
-def test_a_workspaces_priority_stands_in_place_of_the_routes(route_priority, workspace, wanted):
+def test_the_priority_of_a_workspace_replaces_that_of_the_route(route_priority, workspace, wanted):
     routes = [
         {**ROUTE, "type": "safe", "priority": route_priority},
         {**ROUTE, "name": "q", "pathPrefix": "/q/", "type": "safe", "priority": 0},
