--- a/tests/hosted/test_large_fleets.py
+++ b/tests/hosted/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""What changes where many hosts serve: schedulers, and watchers of the list for a zone."""
+"""Large fleets: schedulers, and hosts that watch the discovery list for their zone."""
 
 import asyncio
 import contextlib
@@ -16,9 +16,9 @@
 
 @contextlib.asynccontextmanager
 async def heartbeats(site):
-    """Have one upstream's record change some times a second, as heartbeats do."""
+    """Change one upstream's record several times a second, as heartbeats do."""
 
-    async def beat():
+    async def keep_changing():
         number = 0
         while True:
             number += 1
@@ -26,14 +26,14 @@
             site.store.put("servers", "s1", spec)
             await asyncio.sleep(0.1)
 
-    task = asyncio.ensure_future(beat())
+    task = asyncio.ensure_future(keep_changing())
     try:
         yield
     finally:
         task.cancel()
 
 
-def names_knowing(site, instance):
+def hosts_knowing(site, instance):
     return {name for name, item in site.gateways.items() if item.gateway.knows_instance(instance)}
 
 
@@ -48,26 +48,26 @@
 
 
 @pytest.fixture(autouse=True)
-def large(monkeypatch):
+def large_fleet(monkeypatch):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
 
 
 @on_site(gateways=5)
-async def test_two_hosts_of_a_zone_watch_the_list_and_the_others_hear_of_it(site):
+async def test_two_hosts_of_a_zone_watch_the_list_and_relay_changes_to_the_others(site):
     async with heartbeats(site):
         await wait_for_all_hosts(site)
         await asyncio.sleep(1.0)
         site.store.calls.clear()
         site.unlist_upstream(site.upstreams["s0"])
-        await wait_until(lambda: not names_knowing(site, "s0"), "gone at all hosts")
+        await wait_until(lambda: not hosts_knowing(site, "s0"), "gone at all hosts")
         await asyncio.sleep(2.0)
-        # Two watchers at a pace of 0.8 s, for two seconds and the start; five would make 15.
+        # Two hosts watch at intervals of 0.8 s, for two seconds and the start; five would make 15.
         assert count_watches(site) <= 8
 
 
 @pytest.mark.parametrize("way", ["watchers stopped", "datagrams lost"])
 @on_site(gateways=4)
-async def test_a_host_that_hears_nothing_of_the_list_reads_it_in_time(site, way):
+async def test_a_host_without_relayed_changes_reads_the_list_in_time(site, way):
     async with heartbeats(site):
         await wait_for_all_hosts(site)
         await asyncio.sleep(1.0)
@@ -82,29 +82,28 @@
                 running.gateway._discovery._relay.send = lambda _: None
         site.unlist_upstream(site.upstreams["s0"])
         async with asyncio.timeout(2.0):
-            while names_knowing(site, "s0") & others:
+            while hosts_knowing(site, "s0") & others:
                 await asyncio.sleep(0.01)
 
 
 @on_site(gateways=4)
-async def test_a_watcher_that_cannot_reach_the_store_hears_from_the_other_one(site):
-    # Found on paharpath-routes-grown, trouble-1: such a host kept its old list for seven seconds.
+async def test_a_watching_host_that_cannot_reach_the_store_receives_relayed_changes(site):
     async def refuse_call(*_):
-        raise PlatformUnavailableError("turned away")
+        raise PlatformUnavailableError("unreachable")
 
     async with heartbeats(site):
         await wait_for_all_hosts(site)
         await asyncio.sleep(1.0)
         members = site.gateways["g0"].gateway.list_members()
-        cut = scheduling.list_representatives(members, "hall-a")[0].host
-        site.gateways[cut].gateway._store._call = refuse_call
+        isolated = scheduling.list_representatives(members, "hall-a")[0].host
+        site.gateways[isolated].gateway._store._call = refuse_call
         await asyncio.sleep(0.5)
         site.unlist_upstream(site.upstreams["s0"])
-        await wait_until(lambda: cut not in names_knowing(site, "s0"), "gone there too")
+        await wait_until(lambda: isolated not in hosts_knowing(site, "s0"), "gone there too")
 
 
 @on_site(gateways=4)
-async def test_an_outage_in_a_large_fleet_forgets_no_upstream_that_comes_back(site):
+async def test_an_outage_in_a_large_fleet_removes_no_upstream_that_registers_again(site):
     async with heartbeats(site):
         await wait_for_all_hosts(site)
         site.store.faults.down = True
@@ -114,14 +113,14 @@
         site.unlist_upstream(leaving)
         site.store.faults.down = False
         await asyncio.sleep(1.0)
-        assert names_knowing(site, "s0") == set(site.gateways)
+        assert hosts_knowing(site, "s0") == set(site.gateways)
         site.list_upstream(leaving)
         await asyncio.sleep(2.0)
-        assert names_knowing(site, "s0") == set(site.gateways)
+        assert hosts_knowing(site, "s0") == set(site.gateways)
 
 
 @on_site(gateways=4, engines=("prefill", "prefill", "decode", "decode"))
-async def test_each_request_of_a_large_fleet_runs_once_and_leaves_nothing_booked(site):
+async def test_each_request_of_a_large_fleet_runs_once_and_its_booking_is_released(site):
     await wait_for_all_hosts(site)
     asked = [
         ask(address_of(site, name), "/verdict/a", f"{name}-{number}", X_Token_Usage=LONG)
@@ -141,7 +140,7 @@
 
 
 @on_site(gateways=4, engines=("prefill", "prefill", "decode", "decode"))
-async def test_requests_go_on_where_the_scheduler_is_gone(site):
+async def test_requests_are_served_after_the_scheduler_is_gone(site):
     await wait_for_all_hosts(site)
     members = site.gateways["g0"].gateway.list_members()
     first = scheduling.find_scheduler(members, "model", "hall-a").host
--- a/tests/hosted/test_late_words.py
+++ b/tests/hosted/test_late_words.py
@@ -1,12 +1,6 @@
-"""Words of crashes that reach a host late, since it was stopped while they were on their way.
+"""Crash messages that a host reads late, since it was suspended when they arrived.
 
-Two crashes within 30 ms quarantined a popular call for some seconds, as they should. A host that
-was stopped just then took the words up 2.5 s later, with the ages that they had when they were
-sent, and counted the same two crashes of the same two starts a second time. It told all others,
-so that the call was refused everywhere for more than ten minutes:
-
-    0.033 "request quarantined" "crashes":["e2","e3"],"seconds":12.0
-    7.781 "request quarantined" "crashes":["e2","e3","e2","e3"],"seconds":713.5
+Guards against counting the same crashes twice, which would multiply the time of the quarantine.
 """
 
 import asyncio
@@ -18,12 +12,12 @@
 from tests.hosted.sites import on_site
 from tests.hosted.test_innocents import count_quarantined, find_guard
 
-NAME = RequestFingerprint(bytes(8), bytes(range(8)))
+FINGERPRINT = RequestFingerprint(bytes(8), bytes(range(8)))
 LATE_SECONDS = 2.5
 
 
 @on_site(gateways=3)
-async def test_a_crash_that_is_told_late_is_the_same_crash(site):
+async def test_a_crash_that_is_received_late_is_not_counted_twice(site):
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 3 for item in gateways), "all hosts")
     relay = site.gateways["g2"].gateway._crashes
@@ -32,17 +26,17 @@
     socket._receivers[5] = lambda data, ip: held.append((data, ip))
     now = asyncio.get_running_loop().time()
     for number in range(2):
-        find_guard(site, "g0").report_crash([NAME], Crash(f"e{number}", now))
-    await wait_until(lambda: len(held) >= 2, "words on their way")
+        find_guard(site, "g0").report_crash([FINGERPRINT], Crash(f"e{number}", now))
+    await wait_until(lambda: len(held) >= 2, "messages in transit")
     await asyncio.sleep(LATE_SECONDS)
     socket._receivers[5] = receive
     for data, ip in held:
         receive(data, ip)
     await wait_until(lambda: all(count_quarantined(site)), "known")
-    # Every host has told every other one by then.
+    # By then every host has sent its records to every other one.
     await asyncio.sleep(3.0)
     for name in site.gateways:
-        case = find_guard(site, name).quarantine.find(NAME)
+        case = find_guard(site, name).quarantine.find(FINGERPRINT)
         assert sorted(crash.start for crash in case.crashes) == ["e0", "e1"]
-        wait = find_guard(site, name).quarantine.find_wait(NAME, now)
+        wait = find_guard(site, name).quarantine.find_wait(FINGERPRINT, now)
         assert wait <= FIRST_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE) + LATE_SECONDS + 1
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -1,4 +1,4 @@
-"""Who lives in a large fleet: hosts speak to their zone's representatives alone."""
+"""Live hosts of a large fleet, where hosts report to zone aggregators (representatives) only."""
 
 import asyncio
 
@@ -14,12 +14,12 @@
 
 
 @pytest.fixture(autouse=True)
-def large(monkeypatch):
+def large_fleet(monkeypatch):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 3)
 
 
 async def add_zones(site, hosts=3):
-    """Add hosts to the second and third zone, as many as the site has in the first."""
+    """Add hosts to the second and third zone."""
     for zone_number, zone in enumerate(ZONES[1:], 1):
         for number in range(hosts):
             await site.add_gateway(f"{zone}-{number}", 10 * zone_number + number, zone)
@@ -27,41 +27,41 @@
     await wait_until(lambda: knows_all(site, set(site.gateways)), "all hosts")
 
 
-def views(site, hosts):
+def list_views(site, hosts):
     return {name: set(site.gateways[name].gateway.live_hosts()) for name in hosts}
 
 
 def knows_all(site, hosts):
-    """Return whether these hosts know of just these hosts."""
-    return all(view == hosts for view in views(site, hosts).values())
+    """Return whether each of these hosts has exactly these hosts as live."""
+    return all(view == hosts for view in list_views(site, hosts).values())
 
 
-def find_representatives(site, zone):
+def find_aggregators(site, zone):
     members = site.gateways["g0"].gateway.list_members()
     return {item.host for item in scheduling.list_representatives(members, zone)}
 
 
-def kill(site, name):
+def stop_host(site, name):
     site.gateways[name].task.cancel()
 
 
-async def expect_no_living_host_lost(site, living, check):
-    """Wait for a condition; until then no living host may be missing at another one."""
+async def expect_no_live_host_lost(site, live, check):
+    """Wait for a condition; until then no live host may be missing at another one."""
     while not check():
-        for name, view in views(site, living).items():
-            assert living <= view, f"{name} lost {living - view}"
+        for name, view in list_views(site, live).items():
+            assert live <= view, f"{name} lost {live - view}"
         await asyncio.sleep(0.02)
 
 
 @on_site(gateways=3)
-async def test_a_host_hears_reports_of_its_representatives_alone(site):
+async def test_a_host_receives_no_reports_unless_it_is_an_aggregator(site):
     await add_zones(site)
     await asyncio.sleep(2.5)
-    representatives = {zone: find_representatives(site, zone) for zone in ZONES}
-    plain = set(site.gateways) - set().union(*representatives.values())
-    assert len(plain) == 3
-    heard = {name: set() for name in plain}
-    for name in plain:
+    aggregators = {zone: find_aggregators(site, zone) for zone in ZONES}
+    ordinary = set(site.gateways) - set().union(*aggregators.values())
+    assert len(ordinary) == 3
+    heard = {name: set() for name in ordinary}
+    for name in ordinary:
         socket = site.gateways[name].gateway._gossip._socket
         receive = socket._receivers[DatagramKind.REPORT]
 
@@ -72,30 +72,30 @@
         socket.receive(DatagramKind.REPORT, note)
     await asyncio.sleep(2.0)
     assert knows_all(site, set(site.gateways))
-    assert heard == {name: set() for name in plain}
+    assert heard == {name: set() for name in ordinary}
 
 
 @on_site(gateways=3)
-async def test_every_host_shares_the_bound_of_repeats_with_all_that_live(site):
+async def test_every_host_shares_the_retry_budget_among_all_live_hosts(site):
     await add_zones(site)
     budgets = [item.gateway._budgets for item in site.gateways.values()]
     await wait_until(lambda: all(item.hosts == 9 for item in budgets), "nine hosts counted")
     lost = "hall-c-1"
-    kill(site, lost)
-    living = set(site.gateways) - {lost}
-    left = [site.gateways[name].gateway._budgets for name in living]
+    stop_host(site, lost)
+    live = set(site.gateways) - {lost}
+    left = [site.gateways[name].gateway._budgets for name in live]
     await wait_until(lambda: all(item.hosts == 8 for item in left), "eight hosts counted")
 
 
 @on_site(gateways=3)
 async def test_reports_between_schedulers_are_not_answered_by_summaries(site):
-    # Found on reading: a scheduler that represents its zone sent one for each report that it got.
+    # Guards against a scheduler and aggregator that answers each report with a summary.
     await add_zones(site)
     await asyncio.sleep(1.0)
-    near = site.gateways[min(find_representatives(site, "hall-a"))].gateway._gossip
-    far = site.gateways[min(find_representatives(site, "hall-b"))].gateway._gossip
+    near = site.gateways[min(find_aggregators(site, "hall-a"))].gateway._gossip
+    far = site.gateways[min(find_aggregators(site, "hall-b"))].gateway._gossip
     answers = []
-    near._rosters.answer = lambda summary, ip: answers.append(ip)
+    near._rosters.send_to = lambda summary, ip: answers.append(ip)
     peers = far.recipients.list_named([near._me.host])
     for _ in range(20):
         far._send({}, peers)
@@ -105,31 +105,31 @@
 
 @pytest.mark.parametrize("which", ["plain", "one representative"])
 @on_site(gateways=3)
-async def test_a_lost_host_is_gone_everywhere_and_nobody_else(site, which):
+async def test_a_lost_host_and_no_other_is_gone_at_all_hosts(site, which):
     await add_zones(site)
-    representatives = find_representatives(site, "hall-b")
+    aggregators = find_aggregators(site, "hall-b")
     hosts = {name for name in site.gateways if name.startswith("hall-b")}
-    lost = min(hosts - representatives if which == "plain" else representatives)
-    kill(site, lost)
-    living = set(site.gateways) - {lost}
+    lost = min(hosts - aggregators if which == "plain" else aggregators)
+    stop_host(site, lost)
+    live = set(site.gateways) - {lost}
     async with asyncio.timeout(8):
-        await expect_no_living_host_lost(site, living, lambda: knows_all(site, living))
+        await expect_no_live_host_lost(site, live, lambda: knows_all(site, live))
 
 
 @on_site(gateways=3)
-async def test_no_host_is_forgotten_where_a_zone_loses_all_its_representatives(site):
+async def test_no_live_host_is_lost_when_a_zone_loses_all_its_aggregators(site):
     await add_zones(site, hosts=4)
-    lost = find_representatives(site, "hall-b")
+    lost = find_aggregators(site, "hall-b")
     for name in lost:
-        kill(site, name)
-    living = set(site.gateways) - lost
+        stop_host(site, name)
+    live = set(site.gateways) - lost
     async with asyncio.timeout(8):
-        await expect_no_living_host_lost(site, living, lambda: knows_all(site, living))
-    assert not find_representatives(site, "hall-b") & lost
+        await expect_no_live_host_lost(site, live, lambda: knows_all(site, live))
+    assert not find_aggregators(site, "hall-b") & lost
 
 
 @on_site(gateways=3)
-async def test_a_host_that_starts_without_the_store_learns_of_all_by_three_seeds(site):
+async def test_a_host_that_starts_without_the_store_finds_all_hosts_by_three_seeds(site):
     await add_zones(site)
     site.store.faults.down = True
     site.store.wake()
@@ -139,14 +139,14 @@
 
 
 @on_site(gateways=3)
-async def test_a_stopping_host_is_no_member_any_more_and_its_next_start_is(site):
+async def test_a_stopping_host_is_no_longer_a_member_and_is_one_after_its_restart(site):
     await add_zones(site)
     leaving = "hall-c-1"
     site.gateways[leaving].gateway.stop()
-    living = set(site.gateways) - {leaving}
+    live = set(site.gateways) - {leaving}
     async with asyncio.timeout(1.5):
         await wait_until(
-            lambda: all(leaving not in view for view in views(site, living).values()), "left"
+            lambda: all(leaving not in view for view in list_views(site, live).values()), "left"
         )
     await site.gateways[leaving].task
     await site.add_gateway(leaving, 45, "hall-c")
@@ -155,7 +155,7 @@
 
 
 @on_site(gateways=3, engines=("prefill", "prefill", "prefill", "decode"))
-async def test_roles_are_planned_once_by_the_demand_of_all_zones(site):
+async def test_roles_are_planned_by_one_host_with_the_demand_of_all_zones(site):
     await add_zones(site)
 
     def list_holders():
@@ -188,5 +188,5 @@
     def total():
         return holder.total("model", clock()).read_tokens
 
-    # It fades with time, and its parts are up to a heartbeat or two older than its own one.
+    # The demand decays, and the shares of other hosts are up to two heartbeats old.
     await wait_until(lambda: 0.5 * own < total() <= own, "demand of all zones")
--- a/tests/hosted/test_starts.py
+++ b/tests/hosted/test_starts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id, and entries of other writers, on a running site."""
+"""Upstreams that restart under the same id, and entries of other writers, on a running site."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from tests.hosted.sites import LONG, SHORT, address_of, count_runs, on_site
 
 FIRST, LATER = 1764720000000, 1764720060000
-PARTS = (PromptPart("m/aa", 8000),)
+CACHED_PROMPT = (PromptPart("m/aa", 8000),)
 
 
 def fleet(site, name="g0"):
@@ -24,7 +24,7 @@
 
 
 async def tell_starts(site):
-    """Have all upstreams tell their first start, and wait until each host knows."""
+    """Set the start time of all upstreams, and wait until each host knows it."""
     for upstream in site.upstreams.values():
         upstream.born = FIRST
         site.list_upstream(upstream)
@@ -37,9 +37,8 @@
 
 @pytest.mark.parametrize("cut", [True, False], ids=["reset", "silent"])
 @on_site()
-async def test_a_request_that_is_open_at_a_former_start_is_answered_elsewhere(site, cut):
-    # A host without power says nothing: the request waited there until its deadline, although
-    # the list told of the next start of the same upstream within a second.
+async def test_a_request_that_is_open_at_a_former_incarnation_is_answered_elsewhere(site, cut):
+    # Guards against waiting for an upstream that lost power although its restart is listed already.
     await tell_starts(site)
     for name in ("s0", "s1"):
         site.upstreams[name].hold.clear()
@@ -54,14 +53,16 @@
     site.restart_upstream(busy, LATER, cut)
     answer = await asked
     assert (answer.status, answer.whole) == (200, True)
-    # Far from the route's two seconds, of which half may be waited at one instance.
+    # Bounds the time spent waiting at the former incarnation.
     assert loop.time() - began < 4
     assert find_born(site, busy.instance) in (FIRST, LATER)
 
 
 @pytest.mark.parametrize("cut", [True, False], ids=["reset", "silent"])
 @on_site()
-async def test_what_may_not_be_repeated_ends_as_broken_with_its_start(site, cut):
+async def test_a_request_that_may_not_be_repeated_fails_with_the_incarnation_that_received_it(
+    site, cut
+):
     await tell_starts(site)
     for name in ("s0", "s1"):
         site.upstreams[name].hold.clear()
@@ -75,28 +76,28 @@
 
 
 @on_site(gateways=2)
-async def test_all_hosts_forget_what_a_former_start_kept(site):
+async def test_all_hosts_drop_the_cached_parts_of_a_former_incarnation(site):
     await tell_starts(site)
     assert (await ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=LONG,
                       X_Model="m", X_Prompt_Prefix="aa:8000,bb:1000")).status == 200  # fmt: skip
 
-    def list_keepers(name):
+    def list_caching(name):
         return {i.record.instance for i in fleet(site, name).list_service("model")
-                if i.cache.count_read(PARTS)}  # fmt: skip
+                if i.cache.count_read(CACHED_PROMPT)}  # fmt: skip
 
     for name in site.gateways:
-        await wait_until(lambda name=name: list_keepers(name), "belief")
-    for keeper in list_keepers("g0") | list_keepers("g1"):
-        site.restart_upstream(site.upstreams[keeper], LATER)
+        await wait_until(lambda name=name: list_caching(name), "cached parts known")
+    for caching in list_caching("g0") | list_caching("g1"):
+        site.restart_upstream(site.upstreams[caching], LATER)
     for name in site.gateways:
-        await wait_until(lambda name=name: not list_keepers(name), "end of the belief")
+        await wait_until(lambda name=name: not list_caching(name), "cached parts dropped")
     answer = await ask(address_of(site), "/verdict/a", "v2", X_Token_Usage=LONG,
                        X_Model="m", X_Prompt_Prefix="aa:8000,bb:1000")  # fmt: skip
     assert (answer.status, answer.whole) == (200, True)
 
 
 @on_site()
-async def test_an_entry_of_an_earlier_start_changes_nothing(site):
+async def test_an_entry_of_an_earlier_incarnation_is_ignored(site):
     await tell_starts(site)
     upstream = site.upstreams["s0"]
     site.restart_upstream(upstream, LATER)
@@ -111,9 +112,9 @@
 
 
 @on_site(engines=("decode",) * 3)
-async def test_an_order_that_a_former_start_left_unanswered_keeps_others_from_the_next(site):
-    # It may still be carried out, by whichever start is at the address: its condition, the count
-    # of orders taken, holds at each start that has taken none.
+async def test_an_order_that_a_former_incarnation_left_unanswered_prevents_orders_to_the_next(site):
+    # The next incarnation may still carry it out: its condition, the number of accepted orders,
+    # holds at each incarnation that has accepted none.
     await tell_starts(site)
     for upstream in site.upstreams.values():
         upstream.apply_orders = False
@@ -132,9 +133,9 @@
 
 
 @on_site(engines=("prefill", "decode", "decode"))
-async def test_an_engine_is_given_no_order_by_the_report_of_another_start(site):
+async def test_an_engine_gets_no_order_while_its_report_is_of_another_incarnation(site):
     await tell_starts(site)
-    # It has started anew, and the list does not tell that yet.
+    # The engine has restarted, and the list does not show that yet.
     site.upstreams["e1"].born = LATER
     site.upstreams["e0"].role = "decode"
     site.list_upstream(site.upstreams["e0"])
@@ -143,7 +144,7 @@
     assert not site.upstreams["e1"].arrived_orders
 
 
-STRAYS = [
+INVALID_ENTRIES = [
     b"{}",
     b"null",
     b'{"metadata":{"name":"s0","revision":"x"},"spec":{}}',
@@ -153,11 +154,11 @@
 ]
 
 
-@pytest.mark.parametrize("stray", STRAYS, ids=repr)
+@pytest.mark.parametrize("invalid", INVALID_ENTRIES, ids=repr)
 @pytest.mark.parametrize("place", ["a-first", "z-last"])
 @on_site(gateways=2)
-async def test_a_stray_entry_keeps_no_host_from_learning_of_changes(site, stray, place):
-    site.store.put_raw("servers", place, stray)
+async def test_an_invalid_entry_keeps_no_host_from_learning_of_changes(site, invalid, place):
+    site.store.put_raw("servers", place, invalid)
     await site.add_upstream(StandInUpstream("s8", "alerts", "hall-a"))
     for name in site.gateways:
         await wait_until(lambda name=name: fleet(site, name).knows("s8"), "watched")
@@ -172,7 +173,7 @@
 
 
 @on_site(gateways=1)
-async def test_stray_entries_of_other_kinds_end_no_duty(site):
+async def test_invalid_entries_of_other_kinds_stop_no_task(site):
     site.store.put_raw("swifttrestle-peers", "a", b"{}")
     site.store.put("swifttrestle-peers", "b", ["not a map"])
     site.store.put("swifttrestle-peers", "c", {"ip": "host.example"})
@@ -197,15 +198,13 @@
     ids=repr,
 )
 @on_site(engines=("decode", "decode", "decode"))
-async def test_a_lease_that_another_writer_spoiled_is_taken_again_with_a_higher_token(site, spec):
-    # With a lease that was noticed as lost while the answer to one of the holder's own writes was
-    # on its way (the orders of the start: two in a row without load), that answer gave it back, and
-    # the test waited in vain for the next write; 3 of 13 runs beside other work.
+async def test_a_lease_that_another_writer_overwrote_is_taken_again_with_a_higher_token(site, spec):
+    # Waits until none of the holder's own writes is pending, whose answer would restore the lease.
     duty = site.gateways["g0"].gateway._duties.roles
     await wait_until(lambda: duty._lease.lease is not None, "lease")
     engines = [item for item in site.upstreams.values() if hasattr(item, "role")]
-    await wait_until(lambda: sum(e.role == "prefill" for e in engines) == 2, "orders of the start")
-    await wait_until(lambda: not duty._lease._write_lock.locked(), "no write on its way")
+    await wait_until(lambda: sum(e.role == "prefill" for e in engines) == 2, "initial orders")
+    await wait_until(lambda: not duty._lease._write_lock.locked(), "no pending write")
     before = duty._lease.lease.token
     site.store.put("swifttrestle-leases", "roles", spec)
     revision = site.store.objects["swifttrestle-leases", "roles"]["metadata"]["revision"]
--- a/tests/hosted/test_store_returns.py
+++ b/tests/hosted/test_store_returns.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy some seconds old: what it acknowledged since then is gone."""
+"""The store is restored from an older copy: writes that it acknowledged since then are lost."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 from swifttrestle_standins.hosted.upstreams import StandInUpstream
 from tests.hosted.sites import bring_back, build_site, on_built, on_site, wait_in_force
 
-# Writes of others, which hosts do not read, by which revisions go on.
-OTHERS = "others"
-AWAY_SECONDS = 0.4
+# Kind of objects that hosts do not read; writing them raises the store's revision.
+OTHER_KIND = "others"
+OUTAGE_SECONDS = 0.4
 
 
 def write_others(site, count):
     for number in range(count):
-        site.store.put(OTHERS, "counter", {"number": f"{site.store.revision} {number}"})
+        site.store.put(OTHER_KIND, "counter", {"number": f"{site.store.revision} {number}"})
 
 
 async def wait_for_revision(site):
@@ -32,13 +32,13 @@
         await wait_until(lambda d=discovery: d._revision.number >= target, "the newest revision")
 
 
-async def lose_writes(site, lost, cut=True, away=AWAY_SECONDS):
-    """Have the store come back without its last writes, after hosts have read all of them."""
+async def restore_without_writes(site, lost, cut=True, outage_seconds=OUTAGE_SECONDS):
+    """Restore the store without its last writes, after hosts have read all of them."""
     copy = site.store.take_copy()
     write_others(site, lost)
     site.store.put("servers", "s1", {**site.store.objects["servers", "s1"]["spec"], "seq": lost})
     await wait_for_revision(site)
-    await bring_back(site, copy, away, cut)
+    await bring_back(site, copy, outage_seconds, cut)
 
 
 def hosts_using(site, instance):
@@ -55,30 +55,30 @@
     pytest.param({"lost": 20}, id="20 writes lost"),
     pytest.param({"lost": 400}, id="400 writes lost"),
     pytest.param({"lost": 400, "cut": False}, id="connections kept"),
-    pytest.param({"lost": 400, "away": 0.0}, id="not away at all"),
-    pytest.param({"lost": 400, "cut": False, "away": 0.0}, id="unseen"),
+    pytest.param({"lost": 400, "outage_seconds": 0.0}, id="not away at all"),
+    pytest.param({"lost": 400, "cut": False, "outage_seconds": 0.0}, id="unseen"),
 ]
 
 
 @pytest.mark.parametrize("way", WAYS)
 @on_site(gateways=3)
-async def test_an_upstream_that_leaves_after_a_return_gets_no_new_work(site, way):
-    await lose_writes(site, **way)
+async def test_an_upstream_that_drains_after_a_restore_gets_no_new_work(site, way):
+    await restore_without_writes(site, **way)
     site.list_upstream(site.upstreams["s0"], "draining")
     await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
 
 
 @pytest.mark.parametrize("way", WAYS)
 @on_site(gateways=3)
-async def test_an_upstream_that_comes_after_a_return_is_used(site, way):
-    await lose_writes(site, **way)
+async def test_an_upstream_that_is_listed_after_a_restore_is_used(site, way):
+    await restore_without_writes(site, **way)
     await site.add_upstream(StandInUpstream("s9", "alerts", "hall-a"))
     await wait_until(lambda: hosts_using(site, "s9") == set(site.gateways), "used by all hosts")
 
 
 @on_site(gateways=3)
-async def test_what_was_written_under_numbers_that_were_given_out_again_is_not_missed(site):
-    # The store has passed the hosts' revision before any of them asks, so that no watch gets 410.
+async def test_changes_under_reused_revisions_are_not_missed(site):
+    # The store passes the hosts' revision before any of them calls, so that no watch gets 410.
     copy = site.store.take_copy()
     write_others(site, 5)
     await wait_for_revision(site)
@@ -90,18 +90,18 @@
 
 @pytest.mark.parametrize("way", WAYS[1:3])
 @on_site(gateways=5)
-async def test_a_large_fleet_hears_of_an_upstream_that_leaves_after_a_return(
+async def test_a_large_fleet_learns_of_an_upstream_that_drains_after_a_restore(
     site, way, monkeypatch
 ):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
-    await lose_writes(site, **way)
+    await restore_without_writes(site, **way)
     site.list_upstream(site.upstreams["s0"], "draining")
     await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
 
 
 @pytest.mark.parametrize("named", [b"", b"-3", b"banana", b"0", b"99999999999999999999", b"7"])
 @on_site(gateways=2)
-async def test_an_odd_epoch_loses_nothing(site, named):
+async def test_an_invalid_epoch_loses_no_change(site, named):
     await wait_for_revision(site)
     site.store.faults.epoch_text = named
     site.list_upstream(site.upstreams["s0"], "draining")
@@ -112,7 +112,7 @@
 
 
 @on_site(gateways=2)
-async def test_a_host_that_starts_after_a_return_is_ready_with_the_version_that_others_have(site):
+async def test_a_host_that_starts_after_a_restore_is_ready_with_the_version_of_its_peers(site):
     copy = site.store.take_copy()
     version = site.declare()
     others = [item.gateway for item in site.gateways.values()]
@@ -125,9 +125,9 @@
 
 
 @on_site(gateways=1)
-async def test_a_version_is_in_force_though_a_waiting_watch_hears_nothing_of_it(site):
+async def test_a_version_is_in_force_although_a_pending_watch_misses_it(site):
     gateway = site.gateways["g0"].gateway
-    gateway._configuration._choose_wait = lambda: 3600.0
+    gateway._configuration._choose_watch_seconds = lambda: 3600.0
     copy = site.store.take_copy()
     write_others(site, 5)
     first = site.declare()
@@ -140,7 +140,7 @@
 
 
 @on_site(gateways=2)
-async def test_a_version_under_a_number_that_was_given_out_again_is_in_force(site):
+async def test_a_version_under_a_reused_revision_is_in_force(site):
     copy = site.store.take_copy()
     first = site.declare()
     await wait_in_force(site, first)
@@ -152,8 +152,8 @@
 
 
 @on_site(gateways=2)
-async def test_a_key_that_a_version_under_a_former_number_takes_away_is_refused(site):
-    # No watch tells of the version: it is proved, or not, by reads of the entry alone.
+async def test_a_key_that_a_version_under_a_reused_revision_removes_is_refused(site):
+    # No watch reports the version: only reads of the entry can confirm it.
     site.workspaces = [{"name": "club", "apiKeys": ["key-1", "key-2"]}]
     copy = site.store.take_copy()
     site.declare()
@@ -170,7 +170,7 @@
 
 
 async def build_site_with_early_copy():
-    """Start a site whose store may come back with nothing of its hosts."""
+    """Start a site and keep a copy of its store from before any host registered."""
     site = await build_site(gateways=0)
     site.early = site.store.take_copy()
     for number in range(3):
@@ -184,14 +184,14 @@
 
 
 @on_built(build_site_with_early_copy)
-async def test_hosts_leave_their_addresses_in_the_store_again(site):
+async def test_hosts_register_their_addresses_again_after_a_restore(site):
     await wait_until(lambda: list_registered(site) == set(site.gateways), "registered")
     site.store.come_back(site.early)
     await wait_until(lambda: list_registered(site) == set(site.gateways), "registered again")
 
 
 @on_built(build_site_with_early_copy)
-async def test_a_host_that_starts_after_a_return_knows_the_quarantined_requests(site):
+async def test_a_host_that_starts_after_a_restore_knows_the_quarantined_requests(site):
     now = asyncio.get_running_loop().time()
     case = CrashRecord(
         RequestFingerprint(bytes(8), b"deadly66"), (Crash("i-1", now), Crash("i-2", now))
@@ -199,9 +199,11 @@
     for item in site.gateways.values():
         item.gateway._state.guard.merge_crash_records([case], "a test")
         item.gateway._quarantine.note_change()
-    await wait_until(lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "kept")
+    await wait_until(lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "stored")
     site.store.come_back(site.early)
-    await wait_until(lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "again")
+    await wait_until(
+        lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "stored again"
+    )
     await wait_until(lambda: list_registered(site) == set(site.gateways), "registered again")
     for item in site.gateways.values():
         item.task.cancel()
--- a/tests/hosted/test_thin_links.py
+++ b/tests/hosted/test_thin_links.py
@@ -1,4 +1,4 @@
-"""Versions that take longer on a link than a call usually takes."""
+"""Configuration versions that take a slow link longer than a call usually takes."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 from swifttrestle_standins.pieces import cut_pieces
 from tests.hosted.sites import on_site
 
-# A whole answer takes this many pieces with a pause in seconds after each: 3 s, which is over the
-# 2 s of a usual call.
+# Pieces in which an answer arrives, with a pause after each: 3 s, longer than the 2 s of a usual
+# call.
 PIECES = 12
 PAUSE_SECONDS = 0.25
 
 
-class ThinLink:
-    """Passes streams on from one address to another, answers in pieces with pauses."""
+class SlowLink:
+    """Forwards streams to another address, and sends the answers in pieces with pauses."""
 
     def __init__(self, ip, port, target):
         self._address = (ip, port)
@@ -46,36 +46,32 @@
 @pytest.mark.parametrize("source", ["store", "peer"])
 @on_site()
 async def test_a_version_that_arrives_slowly_is_read_to_its_end(site, source):
-    # A version of 4,248 routes, about a megabyte, was sent to hosts with links of 5 Mbit/s. Each
-    # copy had a time for its whole, 1 s from a peer and 2 s from the store, and both shared the
-    # link: one host received 520 to 650 KB/s for twelve seconds, logged "configuration not
-    # fetched ... TimeoutError()" eight times, and answered 404 for a new route 3.17 s after the
-    # version was acknowledged (bound 3 s).
-    keeper = site.gateways["g0"].gateway._configuration
+    # Guards against a timeout for the whole transfer, which slow links exceed.
+    watcher = site.gateways["g0"].gateway._configuration
     if source == "store":
         site.store.faults.pause_seconds = PAUSE_SECONDS
         site.store.faults.pieces = PIECES
         version = site.declare()
-        await wait_until(lambda: keeper.version == version, "version in force")
+        await wait_until(lambda: watcher.version == version, "version in force")
         return
     port = pick_port(pick_ip(0))
-    serving = ConfigurationExchange(pick_ip(1), port, keeper)
-    link = ThinLink(pick_ip(2), port, pick_ip(1))
+    serving = ConfigurationExchange(pick_ip(1), port, watcher)
+    link = SlowLink(pick_ip(2), port, pick_ip(1))
     await serving.open()
     await link.open()
-    fetched = FetchingKeeper()
+    fetched = FetchingWatcher()
     asking = ConfigurationExchange(pick_ip(3), port, fetched)
-    asking.fetch_later("peer", pick_ip(2), keeper.version)
+    asking.fetch_later("peer", pick_ip(2), watcher.version)
     try:
         await wait_until(lambda: fetched.taken or asking._fetching.done(), "the fetch's end")
-        assert fetched.taken == [keeper.version]
+        assert fetched.taken == [watcher.version]
     finally:
         link.close()
         serving.close()
 
 
-class FetchingKeeper:
-    """A keeper that knows nothing, and what it was given."""
+class FetchingWatcher:
+    """A configuration watcher without a version, and the versions that it received."""
 
     version = 0
     raw = None
@@ -83,14 +79,13 @@
     def __init__(self):
         self.taken = []
 
-    def take_copy(self, copy, _):
+    def apply_copy(self, copy, _):
         self.taken.append(copy.raw["version"])
 
 
 @on_site(gateways=2)
 async def test_a_copy_from_a_peer_ends_the_read_of_the_same_version_from_the_store(site):
-    # Both copies of a large version shared one thin link, and each made the other late; requests
-    # waited behind them for five seconds.
+    # Guards against two copies of a large version that delay each other on a slow link.
     first, second = (site.gateways[name].gateway for name in ("g0", "g1"))
     for host in (first, second):
         await wait_until(lambda h=host: len(h.live_hosts()) == 2, "both hosts")
