--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -46,7 +46,7 @@
 # newest version count. Exceeds the maximum interval between heartbeats.
 DISCOVERY_SECONDS = 0.65
 # Peers named in one heartbeat, so that hosts find each other without the store.
-NAMED_PEERS = 8
+MAX_NAMED_PEERS = 8
 # Prompts in one report; each takes about 60 bytes.
 MAX_PROMPTS = 12
 
@@ -294,7 +294,7 @@
 
     def _sample_peers(self) -> tuple[tuple[str, str], ...]:
         seen = self._peers.list_seen(self._now())
-        sample = self._rng.sample(seen, min(NAMED_PEERS, len(seen)))
+        sample = self._rng.sample(seen, min(MAX_NAMED_PEERS, len(seen)))
         return tuple((peer.host, peer.ip) for peer in sample)
 
     # Receiving.
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -43,7 +43,7 @@
 
 MEMBER = "Member"
 RING_SUCCESSORS = 3
-SILENT_HEARTBEATS = 5
+MAX_MISSED_HEARTBEATS = 5
 LISTEN_BACKLOG = 64
 FIRST_REDIAL_SECONDS, MAX_REDIAL_SECONDS = 0.2, 3.0
 
@@ -130,7 +130,7 @@
     @property
     def silence_timeout(self) -> float:
         """Seconds without a heartbeat after which a peer counts as silent."""
-        return self._heartbeat * SILENT_HEARTBEATS
+        return self._heartbeat * MAX_MISSED_HEARTBEATS
 
     def heard(self) -> list[PeerView]:
         """Return the last reported state of all peers that are not silent."""
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -47,7 +47,7 @@
 # Delay of a timer, in seconds, from which on this process counts as having been suspended.
 SUSPENDED_SECONDS = 0.5
 # Seconds between removals of expired records.
-EXPIRE_SECONDS = 30.0
+EXPIRY_INTERVAL_SECONDS = 30.0
 
 
 class QuarantineRelay:
@@ -84,7 +84,7 @@
 
     async def run(self) -> None:
         """Send periodic messages until cancelled."""
-        expire_at = _now() + EXPIRE_SECONDS
+        expire_at = _now() + EXPIRY_INTERVAL_SECONDS
         while True:
             before = _now()
             await asyncio.sleep(PUSH_SECONDS)
@@ -94,7 +94,7 @@
                 self.request_sync()
             if now >= expire_at:
                 self._guard.quarantine.expire(now)
-                expire_at = now + EXPIRE_SECONDS
+                expire_at = now + EXPIRY_INTERVAL_SECONDS
             self._send_repeats()
             self._send_periodic()
 
