--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -523,7 +523,7 @@
 
 
 @pytest.mark.parametrize(
-    ("beats", "asked_at", "expected"),
+    ("heartbeats", "asked_at", "expected"),
     [
         # A summary does not mention the store and must not override its sender's report.
         ([(10.0, 6.0), (10.1, None)], 10.2, 4.0),
