--- a/src/swifttrestle/internal/policy/__init__.py
+++ b/src/swifttrestle/internal/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without input or output: routing, admission, retries, ejection, roles."""
+"""Pure decision logic without I/O: routing, admission, retries, ejection, engine roles."""
--- a/src/swifttrestle/internal/policy/admission.py
+++ b/src/swifttrestle/internal/policy/admission.py
@@ -1,7 +1,7 @@
-"""Whether a request goes now, waits or is refused at once, and when to come back.
+"""Admission control: decides whether a request is sent, queued or refused.
 
-Room is looked at on each upstream: a share of its slots is kept for urgent requests, so that
-a burst of chat or of long prompts never stands before an alert.
+Each upstream reserves a share of its slots for urgent requests, so that bursts of other traffic
+do not delay them.
 """
 
 from abc import ABC, abstractmethod
@@ -11,13 +11,14 @@
 
 from swifttrestle.internal.policy.routing import URGENT, Candidate, RequestEstimate, predict_finish
 
-URGENT_OVERFLOW = 1.5
-LEAST_RETRY_AFTER = 1.0
-MOST_RETRY_AFTER = 30.0
+# Urgent requests may exceed an upstream's slots by this factor.
+URGENT_SLOT_FACTOR = 1.5
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 30.0
 
 
 class Decision(Enum):
-    """What becomes of a request now."""
+    """What to do with a request."""
 
     GO = "go"
     WAIT = "wait"
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True)
 class AdmissionResult:
-    """A decision with the candidates that have room, and seconds until room is expected."""
+    """A decision, the candidates with a free slot, and the seconds until one is expected."""
 
     decision: Decision
     available: tuple[Candidate, ...]
@@ -34,82 +35,86 @@
 
 
 class Admission(ABC):
-    """Decides on requests by the candidates of this moment."""
+    """Decides on requests by the current state of the candidates."""
 
     @abstractmethod
     def decide(
         self,
         candidates: Sequence[Candidate],
         work: RequestEstimate,
-        left: float,
-        ahead: int,
-        limit: int,
+        seconds_left: float,
+        queued_ahead: int,
+        queue_limit: int,
     ) -> AdmissionResult:
         """Decide on one request.
 
-        `left` is the seconds to its deadline, `ahead` the requests that wait before it, and
-        `limit` the most that may wait.
+        `seconds_left` is the seconds to its deadline, `queued_ahead` the number of requests queued
+        before it, and `queue_limit` the maximum queue length.
         """
 
 
 class AdmitAll(Admission):
-    """Baseline: everything goes at once, whatever the load."""
+    """Baseline: admits every request regardless of load."""
 
     def decide(
         self,
         candidates: Sequence[Candidate],
         work: RequestEstimate,
-        left: float,
-        ahead: int,
-        limit: int,
+        seconds_left: float,
+        queued_ahead: int,
+        queue_limit: int,
     ) -> AdmissionResult:
-        """Let the request go."""
+        """Admit the request if there is any candidate."""
         decision = Decision.GO if candidates else Decision.REFUSE
-        return AdmissionResult(decision, tuple(candidates), LEAST_RETRY_AFTER)
+        return AdmissionResult(decision, tuple(candidates), MIN_RETRY_AFTER_SECONDS)
 
 
 class DeadlineAdmission(Admission):
-    """Admits what has room and is predicted to finish in time; refuses at once what cannot."""
+    """Admits requests that are predicted to finish in time; refuses the others immediately."""
 
     def __init__(self, urgent_reserve: float) -> None:
-        """Keep a share of each upstream's slots for urgent requests."""
-        self._reserve = urgent_reserve
+        """Reserve a share of each upstream's slots for urgent requests."""
+        self._urgent_reserve = urgent_reserve
 
     def decide(
         self,
         candidates: Sequence[Candidate],
         work: RequestEstimate,
-        left: float,
-        ahead: int,
-        limit: int,
+        seconds_left: float,
+        queued_ahead: int,
+        queue_limit: int,
     ) -> AdmissionResult:
-        """Judge one request by room, predicted finish and the line before it."""
+        """Decide by free slots, predicted finish time and queue length."""
         if not candidates:
-            return AdmissionResult(Decision.REFUSE, (), LEAST_RETRY_AFTER)
-        in_time = [c for c in candidates if predict_finish(c, work) <= left]
+            return AdmissionResult(Decision.REFUSE, (), MIN_RETRY_AFTER_SECONDS)
+        in_time = [c for c in candidates if predict_finish(c, work) <= seconds_left]
         available = tuple(c for c in in_time if self.has_room(c, work.priority))
-        if available and not ahead:
+        if available and not queued_ahead:
             return AdmissionResult(Decision.GO, available, 0.0)
-        wait = self._predict_wait(candidates, work, ahead)
+        wait = self._predict_wait(candidates, work, queued_ahead)
         fastest = min(predict_finish(c, work) for c in candidates)
-        if ahead >= limit or wait + fastest > left:
-            return AdmissionResult(Decision.REFUSE, (), self._bound(wait))
-        return AdmissionResult(Decision.WAIT, available, self._bound(wait))
+        if queued_ahead >= queue_limit or wait + fastest > seconds_left:
+            return AdmissionResult(Decision.REFUSE, (), self._clamp_retry_after(wait))
+        return AdmissionResult(Decision.WAIT, available, self._clamp_retry_after(wait))
 
     def has_room(self, candidate: Candidate, priority: str) -> bool:
-        """Return whether an upstream has room for one more request of a priority."""
+        """Return whether an upstream has a slot for one more request of a priority."""
         if priority == URGENT:
-            return candidate.inflight < candidate.slots * URGENT_OVERFLOW
-        return candidate.inflight < max(1.0, candidate.slots * (1 - self._reserve))
+            return candidate.inflight < candidate.slots * URGENT_SLOT_FACTOR
+        return candidate.inflight < max(1.0, candidate.slots * (1 - self._urgent_reserve))
 
     def _predict_wait(
-        self, candidates: Sequence[Candidate], work: RequestEstimate, ahead: int
+        self, candidates: Sequence[Candidate], work: RequestEstimate, queued_ahead: int
     ) -> float:
-        """Return the seconds until a request behind `ahead` others finds room."""
-        # Requests of the same shape end at this rate over all upstreams together.
-        ends = sum(c.slots / max(predict_finish(c, work), 0.001) for c in candidates)
-        over = sum(max(0.0, c.inflight - c.slots * (1 - self._reserve)) for c in candidates)
-        return (ahead + over) / ends
-
-    def _bound(self, seconds: float) -> float:
-        return min(MOST_RETRY_AFTER, max(LEAST_RETRY_AFTER, seconds))
+        """Return the seconds until a request behind `queued_ahead` others gets a slot."""
+        # Requests a second that all upstreams together complete, if all are like this one.
+        completions_per_second = sum(
+            c.slots / max(predict_finish(c, work), 0.001) for c in candidates
+        )
+        excess_requests = sum(
+            max(0.0, c.inflight - c.slots * (1 - self._urgent_reserve)) for c in candidates
+        )
+        return (queued_ahead + excess_requests) / completions_per_second
+
+    def _clamp_retry_after(self, seconds: float) -> float:
+        return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
--- a/src/swifttrestle/internal/policy/fetching.py
+++ b/src/swifttrestle/internal/policy/fetching.py
@@ -1,7 +1,7 @@
-"""Where an engine fetches the beginning of a prompt from, in place of reading it once more.
+"""Chooses the engine to copy the KV cache of a prompt's prefix from, in place of prefilling it.
 
-The parts that engines keep are used as one cache: an engine that is to read a prompt first copies
-what another one has read of it. A source that is believed in wrongly costs the time of reading.
+The KV caches of all engines serve as one. Where a source turns out not to have the prefix, the
+engine prefills it.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -12,15 +12,14 @@
 from swifttrestle.internal.state.prompt_cache import PromptPart
 
 # A copy between availability zones takes twice as long (engines' protocol).
-FAR_COPY_FACTOR = 2.0
-# Seconds of reading that a copy must save beyond its own time: it has to be set up at both ends
-# and its bytes are priced, so that a short part is read anew.
-LEAST_SAVED_SECONDS = 0.005
+CROSS_ZONE_COPY_FACTOR = 2.0
+# Minimum seconds that a copy must save: it takes setup at both ends, and its bytes are billed.
+MIN_SAVED_SECONDS = 0.005
 
 
 @dataclass(frozen=True)
 class Source:
-    """An engine that has read the first `tokens` of a prompt."""
+    """An engine that has the KV cache of the first `tokens` of a prompt."""
 
     engine: Instance
     tokens: int
@@ -28,26 +27,26 @@
 
 @dataclass(frozen=True)
 class Fetch:
-    """A copy of `tokens` from a source, which takes so many seconds."""
+    """A copy of the KV cache of `tokens` from a source; `seconds` is its predicted duration."""
 
     source: Instance
     tokens: int
     seconds: float
 
 
-# What an engine that keeps so many tokens of the prompt would fetch, if anything.
+# Returns what an engine that caches so many tokens of the prompt would fetch, if anything.
 FetchPlan = Callable[[Instance, int], Fetch | None]
 
 
-def fetch_nothing(reader: Instance, kept: int) -> Fetch | None:
-    """Plan no copy."""
+def fetch_nothing(reader: Instance, cached_tokens: int) -> Fetch | None:
+    """Return no copy."""
     return None
 
 
 def list_sources(
     engines: Sequence[Instance], parts: Sequence[PromptPart], excluded: Collection[str]
 ) -> list[Source]:
-    """Return the engines that have read the beginning of a prompt, those with most of it first."""
+    """Return the engines that have a prefix of a prompt cached, longest first."""
     found = [
         Source(item, tokens)
         for item in engines
@@ -58,23 +57,26 @@
 
 
 def plan_fetch(
-    reader: Instance, kept: int, sources: Sequence[Source], traits: EngineTraits | None
+    reader: Instance, cached_tokens: int, sources: Sequence[Source], traits: EngineTraits | None
 ) -> Fetch | None:
-    """Return the copy that saves a reader most beyond the `kept` tokens, None where none does."""
+    """Return the copy that saves `reader` most time; None where none does.
+
+    `cached_tokens` is the number of tokens that it has cached itself.
+    """
     if traits is None or traits.link_bytes_per_second <= 0 or not sources:
         return None
     seconds_per_token = traits.kv_bytes_per_token / traits.link_bytes_per_second
     best: Fetch | None = None
-    most = LEAST_SAVED_SECONDS
+    most_saved = MIN_SAVED_SECONDS
     for source in sources:
-        tokens = source.tokens - kept
+        tokens = source.tokens - cached_tokens
         if tokens <= 0:
             break
         if source.engine is reader:
             continue
-        far = source.engine.record.zone != reader.record.zone
-        seconds = tokens * seconds_per_token * (FAR_COPY_FACTOR if far else 1.0)
+        cross_zone = source.engine.record.zone != reader.record.zone
+        seconds = tokens * seconds_per_token * (CROSS_ZONE_COPY_FACTOR if cross_zone else 1.0)
         saved = tokens / reader.effective_read_rate - seconds
-        if saved > most:
-            best, most = Fetch(source.engine, tokens, seconds), saved
+        if saved > most_saved:
+            best, most_saved = Fetch(source.engine, tokens, seconds), saved
     return best
--- a/src/swifttrestle/internal/policy/hash_ring.py
+++ b/src/swifttrestle/internal/policy/hash_ring.py
@@ -1,8 +1,7 @@
-"""Which hosts keep the case of a request: every host finds the same ones by a hash.
+"""Consistent hashing of requests to the hosts that collect reports of crashes under them.
 
-The load that this answers: in a fleet of 790 hosts an engine that ends had some 50 requests open,
-each sent by another host. If each of these told all, one crash would be 40,000 datagrams; with two
-keepers for each request it is a hundred.
+Without such owners, each host with a request open at a crashed upstream would have to notify all
+other hosts.
 """
 
 import hashlib
@@ -15,28 +14,25 @@
     RequestFingerprint,
 )
 
-# Hosts that keep the case of a request: one may be lost unnoticed.
-KEEPERS = 2
+# Owners of each request: the loss of one is tolerated.
+OWNERS_PER_REQUEST = 2
 
 
 class HashRing:
-    """Hosts in the order of a hash of their names; a request's keepers follow its own hash.
-
-    Among 790 hosts they are found in 1.2 us; the ring takes 0.8 ms each time that members change.
-    """
+    """Hosts ordered by a hash of their names; a request's owners follow its own hash."""
 
     def __init__(self, members: Iterable[Member]) -> None:
-        """Put the members in order."""
-        placed = sorted((_place(item.host), item.host, item) for item in members)
-        self._places = [place for place, _, _ in placed]
-        self._members = [item for _, _, item in placed]
+        """Build the ring of some members."""
+        hashed = sorted((_hash_host(item.host), item.host, item) for item in members)
+        self._hashes = [place for place, _, _ in hashed]
+        self._members = [item for _, _, item in hashed]
 
     def find(self, name: RequestFingerprint) -> list[Member]:
-        """Return the keepers of a request's case."""
-        first = bisect_right(self._places, name.body)
-        count = min(KEEPERS, len(self._members))
+        """Return the owners of a request."""
+        first = bisect_right(self._hashes, name.body)
+        count = min(OWNERS_PER_REQUEST, len(self._members))
         return [self._members[(first + step) % len(self._members)] for step in range(count)]
 
 
-def _place(host: str) -> bytes:
+def _hash_host(host: str) -> bytes:
     return hashlib.blake2b(host.encode(), digest_size=FINGERPRINT_HALF_BYTES).digest()
--- a/src/swifttrestle/internal/policy/placement.py
+++ b/src/swifttrestle/internal/policy/placement.py
@@ -1,4 +1,4 @@
-"""Where a request goes: the instance of a plain service, the engines of a prompt."""
+"""Placement: chooses the instance of a plain service, or the engines for a prompt."""
 
 import hashlib
 import math
@@ -11,49 +11,50 @@
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.prompt_cache import PromptPart
 
-# What another availability zone costs in the choice of a plain instance, in open requests:
-# the bytes that cross are priced, so a near instance is kept until it is one request worse.
-FAR_REQUESTS = 1.0
-# Seconds by which an engine may be worse and still be chosen, for holding part of the prompt
-# or for being near: about one long prompt's reading.
+# Penalty of a plain instance in another availability zone, in open requests: traffic between
+# zones is billed.
+CROSS_ZONE_PENALTY_REQUESTS = 1.0
+# Seconds by which an engine's prediction may be worse than the best one for it to be preferred,
+# for its cache affinity or for being in the caller's zone.
 AFFINITY_SECONDS = 0.02
-# Engines that one prompt chooses between: two bring most of the evenness that more would.
-# Few engines are all in the choice, since a hash over few is uneven.
-CHOICES = 2
-FEW_ENGINES = 6
-# Share of an engine's slots that may be open before it gets no more prompts of its own choice.
+# Engines that each prompt chooses between (power of two choices). Up to
+# MAX_ENGINES_WITHOUT_HASHING all are considered, since hashing over few is uneven.
+PREFILL_CHOICES = 2
+MAX_ENGINES_WITHOUT_HASHING = 6
+# Share of an engine's slots in use from which it counts as full.
 FULL_SHARE = 0.9
-# Share of a decoding engine's slots in use up to which it also reads long prompts.
-LENT_SHARE = 0.1
-# Share of a decoding engine's slots kept for the service's most urgent requests, so that long
-# answers of the others never stand before them.
-URGENT_RESERVE = 0.06
-# Ranks that are remembered: those of 61 hosts of a zone for each of its 143 schedulers at the
-# size to design for, and of a few thousand pairs of engines and parts; some 3 MB at most.
-RANKS_KEPT = 16384
+# Share of a decode engine's slots in use up to which it also prefills long prompts.
+MAX_DECODE_SHARE_FOR_PREFILL = 0.1
+# Share of a decode engine's slots reserved for the most urgent requests of its service.
+URGENT_RESERVE_SHARE = 0.06
+# Entries of the cache of ranks, some 3 MB.
+RANK_CACHE_ENTRIES = 16384
 
 
-def pick_plain(
+def pick_plain_instance(
     instances: Sequence[Instance], zone: str, excluded: Collection[str], now: float,
     rng: random.Random,
 ) -> Instance | None:  # fmt: skip
-    """Return the least loaded instance, near ones first; None where there is none."""
+    """Return the least loaded instance, preferring the caller's zone; None where there is none."""
     usable = [item for item in instances if item.name not in excluded]
     ready = [item for item in usable if now >= item.refused_until] or usable
     if not ready:
         return None
 
     def cost(item: Instance) -> tuple[float, float]:
-        far = 0.0 if item.record.zone == zone else FAR_REQUESTS
-        return item.own.requests + item.peers.requests + far, rng.random()
+        zone_penalty = 0.0 if item.record.zone == zone else CROSS_ZONE_PENALTY_REQUESTS
+        return item.own.requests + item.peers.requests + zone_penalty, rng.random()
 
     return min(ready, key=cost)
 
 
-def pick_decoder(
+def pick_decode_engine(
     instances: Sequence[Instance], near: str, excluded: Collection[str], now: float, urgent: bool
 ) -> Instance | None:
-    """Return the engine to make tokens: the least share of its slots in use, near ones first."""
+    """Return the decode engine with the least load, preferring zone `near`; None if all are full.
+
+    Some slots of each are reserved for urgent requests.
+    """
     usable = [
         item
         for item in instances
@@ -62,12 +63,12 @@
         and now >= item.role_changing_until
     ]
     ready = [item for item in usable if now >= item.refused_until] or usable
-    share = FULL_SHARE if urgent else FULL_SHARE - URGENT_RESERVE
-    with_room = [item for item in ready if not is_full(item, share)]
-    if not with_room:
+    share = FULL_SHARE if urgent else FULL_SHARE - URGENT_RESERVE_SHARE
+    with_free_slots = [item for item in ready if not is_full(item, share)]
+    if not with_free_slots:
         return None
     return min(
-        with_room,
+        with_free_slots,
         key=lambda item: (
             item.predict_wait()
             + item.total.requests / max(1, item.record.slots) * AFFINITY_SECONDS
@@ -77,7 +78,7 @@
 
 
 def is_full(item: Instance, share: float = FULL_SHARE) -> bool:
-    """Return whether a share of the engine's slots is taken."""
+    """Return whether a share of the engine's slots is in use."""
     return item.total.requests >= max(1.0, item.record.slots * share)
 
 
@@ -86,17 +87,17 @@
     now: float, longest_wait: float, parts: Sequence[PromptPart] = (),
     plan: FetchPlan = fetch_nothing, latest: float = math.inf,
 ) -> Instance | None:  # fmt: skip
-    """Return the engine to read a prompt soonest, if its wait is within `longest_wait` seconds.
+    """Return the engine to prefill a prompt; None if none is predicted to be soon enough.
 
-    The prompt must also have been read within `latest` seconds, unless its own reading alone takes
-    longer at every engine: it cannot be in time, and is served as well as it can be.
+    An engine must finish as early as one without any of the prompt cached would after a wait of
+    `longest_wait` seconds, and within `latest` seconds. `latest` is ignored where the prefill alone
+    takes longer at every engine.
 
-    Parts that an engine keeps need no reading, nor do those that it fetches by `plan`; it may have
-    a longer wait, as long as the prompt is read no later. Decoding engines read too, at half the
-    pace, while they make few tokens: each piece that they read holds up all their streams. The
-    choice is between the engines that the prompt's shared part hashes to, so that few engines
-    keep each part, and so that hosts which see the same late reports do not all choose the
-    engine that looks idle.
+    Parts that an engine has cached or fetches by `plan` need no prefill. Decode engines prefill
+    too, at half the rate, while few of their slots are in use: prefill delays all their streams.
+    The candidates are the engines that the prompt's shared part hashes to, so that few engines
+    cache each part, and so that hosts with the same outdated load reports do not all choose the
+    same idle engine.
     """
     usable = [
         item
@@ -105,37 +106,46 @@
         and now >= item.refused_until
         and now >= item.role_changing_until
         and item.role is not Role.NONE
-        and not is_full(item, LENT_SHARE if item.role is Role.DECODE else FULL_SHARE)
+        and not is_full(
+            item, MAX_DECODE_SHARE_FOR_PREFILL if item.role is Role.DECODE else FULL_SHARE
+        )
     ]
-    read_in = {item.name: _predict_read(item, tokens, parts, plan) for item in usable}
-    if all(read_in[item.name] - item.predict_wait() > latest for item in usable):
+    prefill_seconds = {item.name: _predict_prefill(item, tokens, parts, plan) for item in usable}
+    if all(prefill_seconds[item.name] - item.predict_wait() > latest for item in usable):
         latest = math.inf
     allowed = [
         item
         for item in usable
-        if read_in[item.name] <= min(latest, longest_wait + tokens / item.effective_read_rate)
+        if prefill_seconds[item.name]
+        <= min(latest, longest_wait + tokens / item.effective_read_rate)
     ]
     if not allowed:
         return None
     ranked = sorted(allowed, key=lambda item: rank(affinity, item.name), reverse=True)
-    first, *others = ranked[: CHOICES if len(ranked) > FEW_ENGINES else len(ranked)]
-    best = min(others, key=lambda item: read_in[item.name], default=first)
-    gain = read_in[first.name] - read_in[best.name]
+    first, *others = ranked[
+        : PREFILL_CHOICES if len(ranked) > MAX_ENGINES_WITHOUT_HASHING else len(ranked)
+    ]
+    best = min(others, key=lambda item: prefill_seconds[item.name], default=first)
+    gain = prefill_seconds[first.name] - prefill_seconds[best.name]
     return best if gain > AFFINITY_SECONDS else first
 
 
-def _predict_read(
+def _predict_prefill(
     item: Instance, tokens: int, parts: Sequence[PromptPart], plan: FetchPlan
 ) -> float:
-    """Return the seconds until an engine will have read a prompt."""
-    kept = min(tokens, item.cache.count(parts))
-    fetch = plan(item, kept)
-    copied, seconds = (fetch.tokens, fetch.seconds) if fetch else (0, 0.0)
-    return item.predict_wait() + seconds + max(0, tokens - kept - copied) / item.effective_read_rate
+    """Return the predicted seconds until an engine has prefilled a prompt."""
+    cached_tokens = min(tokens, item.cache.count(parts))
+    fetch = plan(item, cached_tokens)
+    fetched_tokens, fetch_seconds = (fetch.tokens, fetch.seconds) if fetch else (0, 0.0)
+    return (
+        item.predict_wait()
+        + fetch_seconds
+        + max(0, tokens - cached_tokens - fetched_tokens) / item.effective_read_rate
+    )
 
 
-@lru_cache(RANKS_KEPT)
+@lru_cache(RANK_CACHE_ENTRIES)
 def rank(key: str, name: str) -> int:
-    """Return the rendezvous rank of a name for a key; the highest one is the key's own."""
+    """Return the rendezvous hash of a name for a key; the highest one wins."""
     digest = hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
--- a/src/swifttrestle/internal/policy/queueing.py
+++ b/src/swifttrestle/internal/policy/queueing.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an engine: the most urgent first, refused early where hopeless."""
+"""Priority queue of requests that wait for an engine."""
 
 import asyncio
 import heapq
@@ -20,7 +20,7 @@
 
 
 class AdmissionQueue(Generic[T]):
-    """Waiters for one kind of place at engines, by priority and then by deadline."""
+    """Waiters for one kind of slot, by priority and then by deadline."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -28,11 +28,11 @@
         self._numbers = itertools.count()
 
     def __len__(self) -> int:
-        """Return the requests that wait."""
+        """Return the number of requests that wait."""
         return sum(1 for waiter in self._waiters if not waiter.granted.done())
 
     def count_before(self, priority: int, deadline: float) -> int:
-        """Return the waiters that would be served before another one."""
+        """Return the number of waiters before one of a priority and deadline."""
         return sum(
             1
             for waiter in self._waiters
@@ -41,8 +41,8 @@
         )
 
     def take(self, find: Callable[[], T | None], priority: int) -> T | None:
-        """Return what `find` gives, unless requests wait that go first."""
-        return None if self._has_before(priority) else find()
+        """Return the result of `find`, or None while requests of this or a higher priority wait."""
+        return None if self._has_waiter_before(priority) else find()
 
     async def wait(
         self,
@@ -50,22 +50,22 @@
         release: Callable[[T], None],
         priority: int,
         deadline: float,
-        longest: float,
+        longest_wait: float,
     ) -> T | None:
-        """Return a place as soon as `find` gives one, or None after `longest` seconds.
+        """Return a slot as soon as `find` returns one, or None after `longest_wait` seconds.
 
-        `find` must book the place that it returns; `release` undoes that where the waiter
-        left in the same moment. A request that finds one at once still goes behind those
-        that wait and are as urgent.
+        `find` must book the slot that it returns; `release` undoes that where the waiter is
+        cancelled at the same time. A new request goes behind waiters of the same priority even if
+        a slot is free.
         """
         found = self.take(find, priority)
-        if found is not None or longest <= 0:
+        if found is not None or longest_wait <= 0:
             return found
         granted: asyncio.Future[T] = asyncio.get_running_loop().create_future()
         waiter = _Waiter(priority, deadline, next(self._numbers), find, granted)
         heapq.heappush(self._waiters, waiter)
         try:
-            async with asyncio.timeout(longest):
+            async with asyncio.timeout(longest_wait):
                 return await asyncio.shield(granted)
         except TimeoutError:
             return granted.result() if granted.done() else None
@@ -77,7 +77,7 @@
             granted.cancel()
 
     def serve(self) -> None:
-        """Give places to waiters while there are any; called when room may have come."""
+        """Assign free slots to waiters; called when a slot may have become free."""
         while self._waiters:
             waiter = self._waiters[0]
             if not waiter.granted.done():
@@ -87,7 +87,7 @@
                 waiter.granted.set_result(found)
             heapq.heappop(self._waiters)
 
-    def _has_before(self, priority: int) -> bool:
+    def _has_waiter_before(self, priority: int) -> bool:
         while self._waiters and self._waiters[0].granted.done():
             heapq.heappop(self._waiters)
         return bool(self._waiters) and self._waiters[0].priority <= priority
--- a/src/swifttrestle/internal/policy/rate_limits.py
+++ b/src/swifttrestle/internal/policy/rate_limits.py
@@ -1,9 +1,8 @@
-"""How hosts keep together to the requests a second that an upstream takes from all of them.
+"""Distributed rate limiting: all hosts together keep to an upstream's requests a second.
 
-The load that this answers: an upstream in need names a few requests a second while some hundred
-hosts have work for it. With a share for each host, each could still send one at once, which alone
-is more than such an upstream takes. So one host counts for all, and the others ask it before they
-send; docs/design/upstream-limits.md compares the ways.
+An overloaded upstream may announce a limit far below the number of hosts, so that a share for
+each host would still exceed it. Instead one host, the owner of the limit, counts for all, and the
+others ask it before they send. docs/design/upstream-limits.md compares the alternatives.
 """
 
 from collections.abc import Sequence
@@ -11,60 +10,60 @@
 from swifttrestle.internal.policy.placement import rank
 from swifttrestle.internal.state.members import Member
 
-# Requests that may go at once after a pause, and those of them that are kept for urgent ones.
-MOST_AT_ONCE = 3.0
-URGENT_RESERVE = 1.0
-# Requests a second that are sent to an upstream that takes none: somebody has to hear when it
-# takes some again.
+# Burst size in requests, and the part of it reserved for urgent ones.
+BURST_REQUESTS = 3.0
+URGENT_RESERVE_REQUESTS = 1.0
+# Requests a second that are sent even to an upstream with a limit of zero, to learn when it is
+# raised.
 MIN_REQUESTS_PER_SECOND = 0.25
-# Seconds after which a host that was turned away may ask again at the latest in a small fleet, and
-# asks a second that a keeper gets at most in a large one: all hosts are told when a limit changes,
-# so that none waits for that.
-LONGEST_PAUSE = 1.0
-MOST_ASKS_A_SECOND = 50.0
-# Hosts that count for an upstream, in turn: the second one where the first does not answer.
-KEEPERS = 2
-# Times that each is asked: one lost datagram must not have two hosts count at once.
+# Longest time after which a refused host asks again in a small fleet. In a large one it is longer,
+# so that an owner gets at most so many queries a second. All hosts are notified when a limit
+# changes.
+MAX_RETRY_SECONDS = 1.0
+MAX_QUERIES_PER_SECOND = 50.0
+# Owners of a limit: the second one is asked where the first does not answer.
+OWNERS_PER_LIMIT = 2
+# Queries to each owner: after a single lost datagram two hosts would count at the same time.
 ASK_ATTEMPTS = 2
 
 
 class TokenBucket:
-    """Counts the requests that an upstream takes, for as many hosts as ask."""
+    """Token bucket for the requests of all hosts to an upstream."""
 
     def __init__(self, now: float) -> None:
-        """Start with none to give: a former keeper may have given some just before."""
+        """Start empty: the former owner may have just granted a burst."""
         self._tokens = 0.0
-        self._at = now
-        self._turned_away = 0
+        self._updated_at = now
+        self._refusals = 0
 
     def take(
-        self, rate: float, urgent: bool, now: float, longest_pause: float = LONGEST_PAUSE
+        self, rate: float, urgent: bool, now: float, max_retry_seconds: float = MAX_RETRY_SECONDS
     ) -> float:
-        """Take one request; return 0, or the seconds after which to ask again.
+        """Take one token; return 0, or the seconds after which to ask again.
 
-        Those who are turned away one after another are told to come back one after another.
+        Consecutive refusals get increasing times, so that hosts do not ask again all at once.
         """
-        self._tokens = min(MOST_AT_ONCE, self._tokens + max(0.0, now - self._at) * rate)
-        self._at = now
-        needed = 1.0 if urgent else 1.0 + URGENT_RESERVE
+        self._tokens = min(BURST_REQUESTS, self._tokens + max(0.0, now - self._updated_at) * rate)
+        self._updated_at = now
+        needed = 1.0 if urgent else 1.0 + URGENT_RESERVE_REQUESTS
         if self._tokens >= needed:
             self._tokens -= 1.0
-            self._turned_away = 0
+            self._refusals = 0
             return 0.0
-        seconds = (needed - self._tokens + self._turned_away) / rate
-        self._turned_away += 1
-        return min(longest_pause, seconds)
+        seconds = (needed - self._tokens + self._refusals) / rate
+        self._refusals += 1
+        return min(max_retry_seconds, seconds)
 
 
 def find_max_retry_seconds(hosts: int) -> float:
-    """Return the seconds after which a host that was turned away asks again at the latest."""
-    return max(LONGEST_PAUSE, hosts / MOST_ASKS_A_SECOND)
+    """Return the longest time in seconds after which a refused host asks again."""
+    return max(MAX_RETRY_SECONDS, hosts / MAX_QUERIES_PER_SECOND)
 
 
 def find_owners(members: Sequence[Member], start: str, zone: str) -> list[Member]:
-    """Return the hosts that count for an upstream in a zone, the first one first.
+    """Return the owners of the limit of an upstream in a zone, in order of preference.
 
-    They are near it where its zone has hosts, and have the fastest links of these.
+    Prefers hosts in its zone, then those with the fastest link.
     """
     near = [item for item in members if item.zone == zone] or list(members)
     fastest = max((item.link_mbps for item in near), default=0.0)
@@ -73,4 +72,4 @@
         key=lambda item: (item.link_mbps == fastest, rank(f"limit|{start}", item.host)),
         reverse=True,
     )
-    return ranked[:KEEPERS]
+    return ranked[:OWNERS_PER_LIMIT]
--- a/src/swifttrestle/internal/policy/retry_budget.py
+++ b/src/swifttrestle/internal/policy/retry_budget.py
@@ -1,43 +1,44 @@
-"""A retry budget: retries as a share of requests, over a sliding time.
+"""A retry budget: limits retries to a share of requests, with exponential decay.
 
-The idea of a share instead of a count a request is the paper's ("A client-side retry
-budget"); docs/design/guards.md has the measurement that speaks for it here.
+The share, instead of a number of retries for each request, follows the paper ("A client-side retry
+budget"); see docs/design/guards.md.
 """
 
 import threading
 
-HALF_LIFE = 10.0
-FLOOR = 3.0
+HALF_LIFE_SECONDS = 10.0
+# Retries that are always allowed, so that a service with few requests gets some.
+MIN_RETRIES = 3.0
 
 
 class RetryBudget:
-    """Allows a retry while retries stay under a share of the requests of late."""
+    """Allows a retry while recent retries stay under a share of recent requests."""
 
     def __init__(self, ratio: float) -> None:
-        """Allow so many retries a request, with a floor of three for quiet times."""
+        """Allow `ratio` retries for each request, and at least MIN_RETRIES."""
         self.ratio = ratio
         self._lock = threading.Lock()
         self._requests = 0.0
         self._retries = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def note_request(self, now: float) -> None:
-        """Count one request; `now` is in monotonic seconds."""
+        """Count a request; `now` is in monotonic seconds."""
         with self._lock:
-            self._fade(now)
+            self._decay(now)
             self._requests += 1
 
     def take(self, now: float) -> bool:
         """Take one retry from the budget, or return False."""
         with self._lock:
-            self._fade(now)
-            if self._retries + 1 > max(FLOOR, self._requests * self.ratio):
+            self._decay(now)
+            if self._retries + 1 > max(MIN_RETRIES, self._requests * self.ratio):
                 return False
             self._retries += 1
             return True
 
-    def _fade(self, now: float) -> None:
-        keep = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE)
-        self._requests *= keep
-        self._retries *= keep
-        self._at = now
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** (max(0.0, now - self._updated_at) / HALF_LIFE_SECONDS)
+        self._requests *= factor
+        self._retries *= factor
+        self._updated_at = now
--- a/src/swifttrestle/internal/policy/retry_window.py
+++ b/src/swifttrestle/internal/policy/retry_window.py
@@ -1,21 +1,20 @@
-"""A retry budget over an exact sliding window, shared by the hosts that live.
+"""A retry budget over an exact sliding window, divided among the live hosts.
 
-The promise covers all hosts together: repeats within any window stay under a share of the
-requests and a fixed extra. Each host takes the share of its own requests, and an equal part
-of the extra.
+For all hosts together, the repeats within any window stay below a share of the requests plus a
+constant. Each host may use that share of its own requests and an equal part of the constant.
 """
 
 from collections import deque
 
-# Part of the promise that is used, so that counts at the window's edges cannot exceed it.
-USED_PART = 0.7
+# Share of the budget that is used, so that counts at the window's edges cannot exceed it.
+USED_SHARE = 0.7
 
 
 class WindowedRetryBudget:
-    """Allows a repeat while repeats in the window stay under the promise."""
+    """Allows repeats while those in the window stay within the budget."""
 
     def __init__(self, share: float, extra: float, window: float) -> None:
-        """Allow `share` repeats a request and `extra` in all, in each `window` seconds."""
+        """Allow `share` repeats per request plus `extra`, in each window of `window` seconds."""
         self._share = share
         self._extra = extra
         self._window = window
@@ -24,16 +23,16 @@
         self.hosts = 1
 
     def note_request(self, now: float) -> None:
-        """Count a first arrival."""
+        """Count a request."""
         self._requests.append(now)
         self._expire(now)
 
     def note_repeat(self, now: float) -> None:
-        """Count an arrival beyond the first that was not asked for, such as a rejected one."""
+        """Count a repeat that was not taken from the budget, such as one after a rejection."""
         self._repeats.append(now)
 
     def count_repeats(self, now: float) -> int:
-        """Return the repeats in the window that ends now."""
+        """Return the number of repeats in the window that ends now."""
         self._expire(now)
         return len(self._repeats)
 
@@ -41,7 +40,7 @@
         """Return whether one repeat may be taken now."""
         self._expire(now)
         allowed = len(self._requests) * self._share + self._extra / max(1, self.hosts)
-        return len(self._repeats) + 1 <= allowed * USED_PART
+        return len(self._repeats) + 1 <= allowed * USED_SHARE
 
     def take(self, now: float) -> bool:
         """Take one repeat, or return False."""
--- a/src/swifttrestle/internal/policy/revocation.py
+++ b/src/swifttrestle/internal/policy/revocation.py
@@ -1,26 +1,24 @@
-"""Whether a caller's key may be taken for good, by how old the belief in it is.
+"""Decides whether to accept a caller's API key, by the age of the configuration in force.
 
-Load pattern: operators take keys away at any moment, also while hosts stand still, are cut off
-or are turned away by the store, and callers go on with them. A key that was taken away must not
-be served a bound after that, wherever the request came to; a caller with a good key is best
-served as long as that is certain, and one with a new key must not be told that it has none.
+A revoked key must not be accepted for longer than a bound, even by a host that is suspended or
+cannot reach the store. A valid key is accepted for as long as that is certain, and a key that may
+be newer than the known configuration is not rejected for good.
 """
 
 from enum import Enum
 
-# Seconds by which clocks of hosts and of operators may run apart within the bound, as it is a few
-# seconds long: a hundred times what steady clocks do, and 2 % of the shortest bound in use.
+# Seconds by which clocks may drift apart within the bound.
 CLOCK_MARGIN = 0.1
-# Seconds after which a key that is not known may be newer than the version here: a version is in
-# force everywhere within some hundred milliseconds, and 401 is final for its caller.
+# Age in seconds of the known configuration from which an unknown key may be newer than that: 401
+# is final for its caller.
 UNKNOWN_KEY_SECONDS = 1.5
-# Seconds after which a caller may come back whose key could not be confirmed: about the time
-# between two proofs; another host may know better at once.
+# Seconds after which a caller whose key could not be confirmed may retry: about the interval
+# between two confirmations.
 CONFIRM_RETRY_SECONDS = 0.5
 
 
 class Verdict(Enum):
-    """What a host may say of a key now."""
+    """The result of checking a key."""
 
     ALLOWED = "allowed"
     UNKNOWN = "unknown"
@@ -28,11 +26,11 @@
 
 
 def check_key(known: bool, age: float, bound: float) -> Verdict:
-    """Judge a key that the version in force knows, or not.
+    """Check a key; `known` tells whether the configuration in force has it.
 
-    `age` is for how many seconds, when the request was received, nothing had proved that version
-    to be the newest; `bound` is how long after its removal a key may be served, infinite where
-    nothing but the version in force counts.
+    `age` is the seconds from the last confirmation that this configuration is the newest to the
+    receipt of the request. `bound` is for how many seconds after its removal a key may be
+    accepted; infinite where revocation has no bound.
     """
     if not is_fresh(age, bound):
         return Verdict.UNCONFIRMED
@@ -42,5 +40,5 @@
 
 
 def is_fresh(age: float, bound: float) -> bool:
-    """Return whether keys may be taken by a belief of an age."""
+    """Return whether a configuration that was confirmed `age` seconds ago may be used for keys."""
     return age <= bound - CLOCK_MARGIN
--- a/src/swifttrestle/internal/policy/role_delay.py
+++ b/src/swifttrestle/internal/policy/role_delay.py
@@ -1,7 +1,7 @@
-"""How long a change of roles must be wanted before it is ordered.
+"""Delays role changes until they have been wanted for some time.
 
-A change takes an engine away for seconds, and offered work swings within seconds: a split that
-is wanted for a shorter time than the change takes is over before it could serve anybody.
+A role change makes an engine unavailable for seconds, so following a load swing shorter than that
+would only cost capacity.
 """
 
 from swifttrestle.internal.policy.role_split import RoleChange
@@ -9,14 +9,14 @@
 
 
 class RoleChangeDelay:
-    """Since when each service's engines are wanted in another role; used by the planning host."""
+    """Tracks since when each service has wanted a role change; used by the planning host."""
 
     def __init__(self) -> None:
-        """Start with nothing wanted."""
+        """Start without wanted changes."""
         self._wanted: dict[str, tuple[Role, float]] = {}
 
     def allows(self, service: str, change: RoleChange | None, seconds: float, now: float) -> bool:
-        """Return whether a change has been wanted for `seconds`, or cannot wait."""
+        """Return whether a change is urgent or has been wanted for `seconds`."""
         if change is None:
             self._wanted.pop(service, None)
             return False
--- a/src/swifttrestle/internal/policy/role_split.py
+++ b/src/swifttrestle/internal/policy/role_split.py
@@ -1,8 +1,7 @@
-"""How many of a service's engines read prompts and how many make tokens.
+"""Splits a service's engines into prefill and decode engines.
 
-Before any load is known the start comes from what engines are: reading takes an engine's
-whole compute while making tokens is shared by a batch, so most engines read. Then offered
-work decides: the split whose busier side has the most room.
+Without known load most engines prefill: prefill uses all of an engine's compute, while decode is
+batched. After that the split follows the offered work, and minimizes the load of the busier role.
 """
 
 import math
@@ -13,24 +12,26 @@
 from swifttrestle.internal.state.demand import Demand
 from swifttrestle.internal.state.fleet import Instance
 
-# Share of a service's engines that make tokens before any load is known.
-FIRST_DECODE_SHARE = 1 / 3
-# Engines that make tokens at least, where there are enough: one may be lost at any moment.
-LEAST_DECODERS = 2
-ENOUGH_ENGINES = 4
-# Share of an engine's slots, or of its reading pace, that can be planned on.
+# Share of a service's engines that decode while no load is known.
+DEFAULT_DECODE_SHARE = 1 / 3
+# Minimum number of decode engines, to tolerate the loss of one, for services with at least
+# MIN_ENGINES_PER_GROUP.
+MIN_DECODERS = 2
+MIN_ENGINES_PER_GROUP = 4
+# Share of an engine's slots, or of its prefill rate, that plans use.
 PLANNED_SHARE = 0.85
-# A split is changed only while its busier side is loaded over this share, and only for one
-# whose busier side is lighter by this factor: a change takes an engine away for seconds.
+# A split is changed only while its busier role is loaded above BUSY_SHARE, and only to one that
+# lowers that load below this factor of it: a change makes an engine unavailable for seconds.
 BUSY_SHARE = 0.95
-BETTER_FACTOR = 0.85
+IMPROVEMENT_FACTOR = 0.85
 
 
 @dataclass(frozen=True)
 class RoleChange:
-    """One engine's change of role, and the figures that decided it.
+    """A role change of one engine, with its reason.
 
-    It is `urgent` where no load is known yet, or too few engines make tokens to lose one.
+    It is `urgent` where no load is known yet, or where there are too few decode engines to
+    tolerate the loss of one.
     """
 
     engine: Instance
@@ -39,49 +40,55 @@
     urgent: bool = False
 
 
-def count_decoders(engines: int) -> int:
-    """Return how many of so many engines make tokens before any load is known."""
+def count_default_decoders(engines: int) -> int:
+    """Return the number of decode engines while no load is known."""
     if engines <= 1:
         return engines
-    return max(least_decoders(engines), math.ceil(engines * FIRST_DECODE_SHARE))
+    return max(find_min_decoders(engines), math.ceil(engines * DEFAULT_DECODE_SHARE))
 
 
-def least_decoders(engines: int) -> int:
-    """Return how many engines make tokens at least."""
-    return LEAST_DECODERS if engines >= ENOUGH_ENGINES else 1
+def find_min_decoders(engines: int) -> int:
+    """Return the minimum number of decode engines."""
+    return MIN_DECODERS if engines >= MIN_ENGINES_PER_GROUP else 1
 
 
-def measure_load(engines: Sequence[Instance], decoders: int, demand: Demand) -> float:
-    """Return the load of the busier side, 1 for all that can be planned on."""
-    readers = len(engines) - decoders
+def measure_split_load(engines: Sequence[Instance], decoders: int, demand: Demand) -> float:
+    """Return the load of the busier role; 1 is all planned capacity."""
+    prefill_engines = len(engines) - decoders
     slots = sum(item.record.slots for item in engines) / len(engines)
-    pace = sum(item.read_rate for item in engines) / len(engines)
-    read_rate = readers * pace * PLANNED_SHARE
-    # Prompts that are not read need no slot: more of these must not keep engines from reading.
+    mean_read_rate = sum(item.read_rate for item in engines) / len(engines)
+    read_rate = prefill_engines * mean_read_rate * PLANNED_SHARE
+    # Prompts beyond the prefill capacity hold no decode slots.
     decode = demand.count_slots(read_rate) / max(1e-9, decoders * slots * PLANNED_SHARE)
     return max(decode, demand.read_tokens / max(1e-9, read_rate))
 
 
-def find_best_count(
-    engines: Sequence[Instance], current: int, demand: Demand, least: int | None = None
+def find_best_decode_count(
+    engines: Sequence[Instance], current: int, demand: Demand, minimum: int | None = None
 ) -> int:
-    """Return how many engines are to make tokens; `current` where no change is worth it.
+    """Return the best number of decode engines; `current` where no change is worth it.
 
-    `least` is how many do so at least, by default as many as the number of engines asks for.
+    `minimum` defaults to that for the number of engines.
     """
-    number = len(engines)
-    least = least_decoders(number) if least is None else least
+    engine_count = len(engines)
+    minimum = find_min_decoders(engine_count) if minimum is None else minimum
     if demand == Demand():
-        return max(least, count_decoders(number))
-    now = measure_load(engines, current, demand) if 0 < current < number else math.inf
-    choices = range(least, number)
+        return max(minimum, count_default_decoders(engine_count))
+    current_load = (
+        measure_split_load(engines, current, demand) if 0 < current < engine_count else math.inf
+    )
+    choices = range(minimum, engine_count)
     if not choices:
         return current
-    best = min(choices, key=lambda count: (measure_load(engines, count, demand), count))
-    load = measure_load(engines, best, demand)
-    if current < least or now == math.inf:
+    best = min(choices, key=lambda count: (measure_split_load(engines, count, demand), count))
+    best_load = measure_split_load(engines, best, demand)
+    if current < minimum or current_load == math.inf:
         return best
-    return best if now > BUSY_SHARE and load < now * BETTER_FACTOR else current
+    return (
+        best
+        if current_load > BUSY_SHARE and best_load < current_load * IMPROVEMENT_FACTOR
+        else current
+    )
 
 
 def plan_change(
@@ -90,52 +97,54 @@
     demand: Demand,
     broken: Collection[str] = (),
 ) -> RoleChange | None:
-    """Return the next change, or None.
+    """Return the next role change; None if there is none.
 
-    `pending` holds the roles that engines have been ordered to and may not show yet; they
-    count as done, and these engines get no other order. Engines that are `broken` get none
-    either and bring no capacity; but most are back sooner than another could take their
-    role, so one that makes tokens still counts towards the least number of those.
+    `pending` holds ordered roles that engines may not report yet; they count as done, and these
+    engines get no other order. Engines that are `broken` get none either and add no capacity.
+    Broken decode engines still count towards the minimum number: most recover before another
+    engine could take their role.
     """
 
     def role_of(item: Instance) -> Role:
         return pending.get(item.name, item.role)
 
-    away = [item for item in engines if item.name in broken and role_of(item) is Role.DECODE]
+    broken_decoders = [
+        item for item in engines if item.name in broken and role_of(item) is Role.DECODE
+    ]
     engines = [item for item in engines if item.name not in broken]
     decoders = [item for item in engines if role_of(item) is Role.DECODE]
-    readers = [item for item in engines if role_of(item) is Role.PREFILL]
+    prefill_engines = [item for item in engines if role_of(item) is Role.PREFILL]
     if not engines:
         return None
     unknown = demand == Demand()
-    # What is open now tells of long answers sooner than hold times, which are learned only
-    # as answers end.
-    held = sum(item.total.requests for item in decoders)
-    demand = replace(demand, decode_slots=max(demand.decode_slots, held))
-    least = max(1, least_decoders(len(engines) + len(away)) - len(away))
-    # What is being made is not to be crowded onto fewer engines, however much waits to be read.
+    # Open requests reflect long answers sooner than learned hold times, which are updated only
+    # when answers end.
+    open_requests = sum(item.total.requests for item in decoders)
+    demand = replace(demand, decode_slots=max(demand.decode_slots, open_requests))
+    minimum = max(1, find_min_decoders(len(engines) + len(broken_decoders)) - len(broken_decoders))
+    # Keeps enough decode engines for the open requests, regardless of the prefill load.
     slots = sum(item.record.slots for item in engines) / len(engines)
-    least = max(least, min(len(decoders), math.ceil(held / (slots * PLANNED_SHARE))))
-    wanted = find_best_count(engines, len(decoders), demand, least)
+    minimum = max(minimum, min(len(decoders), math.ceil(open_requests / (slots * PLANNED_SHARE))))
+    wanted = find_best_decode_count(engines, len(decoders), demand, minimum)
     reason = (
         f"{len(decoders)} of {len(engines)} decode, {wanted} wanted, "
         f"{demand.read_tokens:.0f} tokens/s and {demand.decode_slots:.0f} slots offered"
     )
     if len(decoders) > wanted:
-        return _change(decoders, pending, Role.PREFILL, reason, urgent=unknown)
-    if len(decoders) < wanted and len(readers) > 1:
-        urgent = unknown or len(decoders) < least_decoders(len(engines))
-        return _change(readers, pending, Role.DECODE, reason, urgent=urgent)
+        return _choose_engine(decoders, pending, Role.PREFILL, reason, urgent=unknown)
+    if len(decoders) < wanted and len(prefill_engines) > 1:
+        urgent = unknown or len(decoders) < find_min_decoders(len(engines))
+        return _choose_engine(prefill_engines, pending, Role.DECODE, reason, urgent=urgent)
     return None
 
 
-def _change(
+def _choose_engine(
     group: Sequence[Instance], excluded: Collection[str], role: Role, reason: str, urgent: bool
 ) -> RoleChange | None:
     allowed = [item for item in group if item.name not in excluded]
     if not allowed:
         return None
-    # Zones keep their share: the engine leaves the zone that has most of its role.
+    # Takes the engine from the zone that has most of its role, to keep zones balanced.
     zones = [item.record.zone for item in group]
     chosen = max(
         allowed,
--- a/src/swifttrestle/internal/policy/roles.py
+++ b/src/swifttrestle/internal/policy/roles.py
@@ -1,7 +1,7 @@
-"""Planning of engines' roles from the mix of waiting prefill and decode work.
+"""Plans role changes of a pool's engines from its prefill and decode load.
 
-A role change takes an engine away for seconds, so a planner must be able to answer that
-none is best, and must never act on missing or old reports.
+A role change makes an engine unavailable for seconds, so planners may decide to change nothing,
+and never act on missing or outdated reports.
 """
 
 from abc import ABC, abstractmethod
@@ -10,14 +10,21 @@
 
 from swifttrestle.resources import Policy
 
-AWAY_SECONDS = 3.0
-SMOOTH_SECONDS = 4.0
+# Seconds for which an engine that changes its role is unavailable.
+ROLE_CHANGE_SECONDS = 3.0
+# Time constant of the smoothed load.
+SMOOTHING_SECONDS = 4.0
+# Age from which reports are not acted on.
 STALE_SECONDS = 5.0
-PREFILL_RATE = 10_000.0
-LEAST_BACKLOG = 0.5
-BUSY_DECODE = 0.85
-IDLE_DECODE = 0.5
-PATIENCE_SECONDS = 30.0
+# Assumed prefill rate of an engine, in tokens a second.
+PREFILL_TOKENS_PER_SECOND = 10_000.0
+# Seconds of queued prefill work below which no engine is changed to prefill.
+MIN_BACKLOG_SECONDS = 0.5
+# Shares of decode slots in use above and below which decode counts as busy and as idle.
+BUSY_DECODE_SHARE = 0.85
+IDLE_DECODE_SHARE = 0.5
+# Extra seconds for which a change must be wanted, at a weight of one.
+PERSISTENCE_SECONDS = 30.0
 
 
 @dataclass(frozen=True)
@@ -38,7 +45,7 @@
 
 @dataclass(frozen=True)
 class RoleChange:
-    """One engine's change of role and why."""
+    """An engine's new role, and the reason."""
 
     engine: str
     role: str
@@ -46,8 +53,8 @@
 
 
 @dataclass(frozen=True)
-class Pressure:
-    """A pool's work: seconds of waiting prefill, and the share of decode slots in use."""
+class PoolLoad:
+    """A pool's load: seconds of queued prefill work, and the share of decode slots in use."""
 
     backlog: float
     decode: float
@@ -70,110 +77,118 @@
 
 
 class ThresholdRoles(RolePlanner):
-    """Baseline: follows the mix of the moment, without memory, dwell or cost."""
+    """Baseline: follows the current load, without smoothing, dwell time or cost."""
 
     def plan(self, loads: Sequence[EngineLoad], policy: Policy, now: float) -> RoleChange | None:
-        """Return the change that the pressure of this moment asks for."""
-        pressure = measure_pressure(loads)
-        if pressure.backlog > LEAST_BACKLOG and pressure.decode < BUSY_DECODE:
+        """Return the change that the current load calls for."""
+        pool_load = measure_pool_load(loads)
+        if pool_load.backlog > MIN_BACKLOG_SECONDS and pool_load.decode < BUSY_DECODE_SHARE:
             return _find_change(loads, "prefill", policy.role_floor, "prefill waits")
-        if pressure.backlog < LEAST_BACKLOG:
+        if pool_load.backlog < MIN_BACKLOG_SECONDS:
             return _find_change(loads, "mixed", policy.role_floor, "no prefill waits")
         return None
 
 
 class CostAwareRoles(RolePlanner):
-    """Changes a role when what it saves outweighs what it costs; used where a policy asks for it.
+    """Changes a role only where that saves more than it costs.
 
-    The cost of a change is the engine's time away, and of its way back the same again. What
-    it saves grows with the smoothed backlog for as long as that has lasted: a swing that is
-    over before it has lasted as long as two changes take is not worth following. The
-    declared weight sets how many times its cost a change must save.
+    The cost of a change is the engine's unavailability, twice: for the change and for changing it
+    back. The backlog must exceed that cost, multiplied according to the declared weight, and must
+    last for some time.
     """
 
     def __init__(self) -> None:
-        """Start with no memory of the pool."""
-        self._smooth = Pressure(0.0, 0.0)
-        self._at: float | None = None
+        """Start without load history."""
+        self._smoothed = PoolLoad(0.0, 0.0)
+        self._updated_at: float | None = None
         self._reported_at = 0.0
-        self._since: dict[str, float] = {}
+        self._wanted_since: dict[str, float] = {}
         self._changed_at = float("-inf")
 
     def plan(self, loads: Sequence[EngineLoad], policy: Policy, now: float) -> RoleChange | None:
         """Return the change to make now, or None."""
-        if not loads or not self._take_reports(loads, now):
+        if not loads or not self._update_load(loads, now):
             return None
         if now - self._changed_at < policy.role_dwell_seconds / max(1, len(loads)):
             return None
-        change = self._find_worthwhile(loads, policy, now)
+        change = self._find_saving_change(loads, policy, now)
         if change is not None:
             self._changed_at = now
-            self._since.clear()
+            self._wanted_since.clear()
         return change
 
-    def _take_reports(self, loads: Sequence[EngineLoad], now: float) -> bool:
-        """Smooth the pressure; False where reports stand still, so that nothing is changed."""
+    def _update_load(self, loads: Sequence[EngineLoad], now: float) -> bool:
+        """Update the smoothed load; return False if reports are missing or outdated."""
         newest = max(load.at for load in loads)
         if newest > self._reported_at:
             self._reported_at = newest
-            elapsed = 0.0 if self._at is None else now - self._at
-            part = min(1.0, elapsed / SMOOTH_SECONDS)
-            seen = measure_pressure(loads)
-            self._smooth = Pressure(
-                self._smooth.backlog + part * (seen.backlog - self._smooth.backlog),
-                self._smooth.decode + part * (seen.decode - self._smooth.decode),
+            elapsed = 0.0 if self._updated_at is None else now - self._updated_at
+            smoothing_factor = min(1.0, elapsed / SMOOTHING_SECONDS)
+            current = measure_pool_load(loads)
+            self._smoothed = PoolLoad(
+                self._smoothed.backlog
+                + smoothing_factor * (current.backlog - self._smoothed.backlog),
+                self._smoothed.decode + smoothing_factor * (current.decode - self._smoothed.decode),
             )
-            self._at = now
+            self._updated_at = now
         oldest = min(load.at for load in loads)
-        return self._at is not None and now - self._at < STALE_SECONDS > newest - oldest
+        return (
+            self._updated_at is not None
+            and now - self._updated_at < STALE_SECONDS > newest - oldest
+        )
 
-    def _find_worthwhile(
+    def _find_saving_change(
         self, loads: Sequence[EngineLoad], policy: Policy, now: float
     ) -> RoleChange | None:
-        smooth = self._smooth
+        smoothed = self._smoothed
         weight = policy.role_change_weight
         ready = {load.name for load in loads if now - load.changed_at >= policy.role_dwell_seconds}
-        # A change must save its own cost and that of the way back, times what a change weighs.
-        wanted = 2 * AWAY_SECONDS * (1 + 4 * weight) / max(1, len(loads))
-        if smooth.backlog > LEAST_BACKLOG + wanted and smooth.decode < IDLE_DECODE:
+        # Twice the cost, for changing back as well.
+        cost_seconds = 2 * ROLE_CHANGE_SECONDS * (1 + 4 * weight) / max(1, len(loads))
+        if (
+            smoothed.backlog > MIN_BACKLOG_SECONDS + cost_seconds
+            and smoothed.decode < IDLE_DECODE_SHARE
+        ):
             if self._has_lasted("prefill", now, weight):
                 return _find_change(
                     loads, "prefill", policy.role_floor, "prefill has waited", ready
                 )
         else:
-            self._since.pop("prefill", None)
-        if smooth.backlog < LEAST_BACKLOG / 2 and smooth.decode > BUSY_DECODE:
+            self._wanted_since.pop("prefill", None)
+        if smoothed.backlog < MIN_BACKLOG_SECONDS / 2 and smoothed.decode > BUSY_DECODE_SHARE:
             if self._has_lasted("mixed", now, weight):
                 return _find_change(loads, "mixed", policy.role_floor, "decode is short", ready)
         else:
-            self._since.pop("mixed", None)
+            self._wanted_since.pop("mixed", None)
         return None
 
     def _has_lasted(self, role: str, now: float, weight: float) -> bool:
-        since = self._since.setdefault(role, now)
-        return now - since >= AWAY_SECONDS + weight * PATIENCE_SECONDS
+        since = self._wanted_since.setdefault(role, now)
+        return now - since >= ROLE_CHANGE_SECONDS + weight * PERSISTENCE_SECONDS
 
 
-def measure_pressure(loads: Sequence[EngineLoad]) -> Pressure:
-    """Return the pool's pressure by its reports."""
-    takers = [load for load in loads if load.role != "decode"]
-    backlog = sum(load.waiting_tokens for load in takers) / (PREFILL_RATE * max(1, len(takers)))
-    decoders = [load for load in loads if load.role != "prefill"]
-    slots = sum(load.slots for load in decoders)
-    return Pressure(backlog, sum(load.decoding for load in decoders) / max(1, slots))
+def measure_pool_load(loads: Sequence[EngineLoad]) -> PoolLoad:
+    """Return the pool's load by its engines' reports."""
+    prefill_engines = [load for load in loads if load.role != "decode"]
+    backlog = sum(load.waiting_tokens for load in prefill_engines) / (
+        PREFILL_TOKENS_PER_SECOND * max(1, len(prefill_engines))
+    )
+    decode_engines = [load for load in loads if load.role != "prefill"]
+    slots = sum(load.slots for load in decode_engines)
+    return PoolLoad(backlog, sum(load.decoding for load in decode_engines) / max(1, slots))
 
 
 def _find_change(
     loads: Sequence[EngineLoad], new: str, floor: int, reason: str, ready: set[str] | None = None
 ) -> RoleChange | None:
-    """Return the change of the least busy ready engine, if the floor allows one."""
+    """Return the change of the least busy ready engine, unless too few decode engines remain."""
     old = "mixed" if new == "prefill" else "prefill"
-    decoders = sum(1 for load in loads if load.role != "prefill")
-    if new == "prefill" and decoders - 1 < floor:
+    decode_engines = sum(1 for load in loads if load.role != "prefill")
+    if new == "prefill" and decode_engines - 1 < floor:
         return None
     found = [x for x in loads if x.role == old and (ready is None or x.name in ready)]
     if not found:
         return None
-    # The least busy one drains soonest.
+    # The least busy engine drains soonest.
     chosen = min(found, key=lambda load: (load.decoding + load.waiting, load.name))
     return RoleChange(chosen.name, new, reason)
--- a/src/swifttrestle/internal/policy/routing.py
+++ b/src/swifttrestle/internal/policy/routing.py
@@ -1,7 +1,7 @@
-"""Which upstream a request goes to: an abstract router, its baselines and the one in use.
+"""Routers choose the upstream for a request: an interface, two baselines and the one in use.
 
-Routers are pure: what they know comes in as candidates, and random choices come from a
-generator that is handed in, so a recorded trace gives the same decisions every time.
+Routers are pure functions of the candidates and a random generator, so that decisions are
+reproducible.
 """
 
 import random
@@ -9,9 +9,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-SAMPLE = 3
-SMALL_SET = 4
-FAR_SECONDS = 0.004
+# Number of candidates that are drawn at random, and number up to which all are considered.
+SAMPLE_SIZE = 3
+MAX_CANDIDATES_WITHOUT_SAMPLING = 4
+# Predicted delay of an upstream in another availability zone.
+CROSS_ZONE_SECONDS = 0.004
+# Prefill rate in tokens a second, and seconds per output token, until they have been measured.
 DEFAULT_PREFILL_RATE = 8000.0
 DEFAULT_TOKEN_SECONDS = 0.03
 URGENT = "urgent"
@@ -19,7 +22,7 @@
 
 @dataclass(frozen=True)
 class RequestEstimate:
-    """What a request asks for; token counts are estimates."""
+    """The work of a request; token counts are estimates."""
 
     prompt_tokens: int
     output_tokens: int
@@ -28,12 +31,11 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """An upstream that may take a request, as this process sees it now.
+    """An upstream that may take a request, as this process currently knows it.
 
-    `waiting_tokens` and `inflight` are the last report corrected by own sends since;
-    `share` falls below 1 while an upstream comes back after having been left out. `prefill_engine`
-    names
-    the engine that prefills the prompt where this one only decodes.
+    `waiting_tokens` and `inflight` are the last report plus what this process has sent since.
+    `share` is below 1 while an upstream ramps up after an ejection. `prefill_engine` names the
+    engine that prefills the prompt where this one only decodes.
     """
 
     name: str
@@ -50,20 +52,20 @@
 
 
 class Router(ABC):
-    """Chooses among candidates that all may take the request."""
+    """Chooses among candidates for a request."""
 
     @abstractmethod
     def pick(
         self, candidates: Sequence[Candidate], work: RequestEstimate, rng: random.Random
     ) -> Candidate | None:
-        """Return the choice, or None where there is no candidate."""
+        """Return the chosen candidate; None where there is none."""
 
 
 class RoundRobin(Router):
-    """Baseline: one after another, blind to load."""
+    """Baseline: takes candidates in turn, regardless of load."""
 
     def __init__(self) -> None:
-        """Start at the first."""
+        """Start with the first candidate."""
         self._next = 0
 
     def pick(
@@ -77,7 +79,7 @@
 
 
 class LeastReported(Router):
-    """Baseline: least load by the report alone, however old it is."""
+    """Baseline: least load by the last report alone, however old it is."""
 
     def pick(
         self, candidates: Sequence[Candidate], work: RequestEstimate, rng: random.Random
@@ -89,11 +91,10 @@
 
 
 class LeastPredicted(Router):
-    """The router in use: the earliest predicted finish among a few candidates.
+    """The earliest predicted finish among a random sample of candidates.
 
-    The few are drawn at random, with the one that holds most of the prompt's prefix added.
-    Entries that see the same lagging reports then spread instead of all choosing the engine
-    that looks idle.
+    The sample also includes the candidate that caches most of the prompt's prefix. Sampling keeps
+    entries with the same outdated reports from all choosing the same idle engine.
     """
 
     def pick(
@@ -103,12 +104,12 @@
         if not candidates:
             return None
         drawn = list(candidates)
-        # Urgent requests are few, so they make no herd, and each is worth the best engine.
-        if len(drawn) > SMALL_SET and work.priority != URGENT:
-            drawn = rng.sample(drawn, SAMPLE)
-            affine = max(candidates, key=lambda c: c.cached_tokens)
-            if affine.cached_tokens and affine not in drawn:
-                drawn.append(affine)
+        # Urgent requests are too few to overload one engine: they choose among all.
+        if len(drawn) > MAX_CANDIDATES_WITHOUT_SAMPLING and work.priority != URGENT:
+            drawn = rng.sample(drawn, SAMPLE_SIZE)
+            longest_cached = max(candidates, key=lambda c: c.cached_tokens)
+            if longest_cached.cached_tokens and longest_cached not in drawn:
+                drawn.append(longest_cached)
         ready = [c for c in drawn if c.share >= 1 or rng.random() < c.share] or drawn
         return min(ready, key=lambda c: predict_finish(c, work))
 
@@ -118,15 +119,15 @@
     uncached = max(1, work.prompt_tokens - candidate.cached_tokens)
     queued = 0.0 if work.priority == URGENT else candidate.waiting_tokens
     seconds = (queued + uncached) / candidate.prefill_rate + candidate.token_seconds
-    over = candidate.inflight + 1 - candidate.slots
-    if over > 0 and work.priority != URGENT:
-        # No slot is free: one comes free each time a request ends.
-        seconds += over * work.output_tokens * candidate.token_seconds / candidate.slots
-    return seconds + (0.0 if candidate.near else FAR_SECONDS)
+    excess_requests = candidate.inflight + 1 - candidate.slots
+    if excess_requests > 0 and work.priority != URGENT:
+        # No slot is free; waits for requests to complete.
+        seconds += excess_requests * work.output_tokens * candidate.token_seconds / candidate.slots
+    return seconds + (0.0 if candidate.near else CROSS_ZONE_SECONDS)
 
 
 def predict_finish(candidate: Candidate, work: RequestEstimate) -> float:
-    """Return the predicted seconds to the whole answer."""
-    crowding = 1 + candidate.inflight / (4 * candidate.slots)
-    decode = work.output_tokens * candidate.token_seconds * crowding
+    """Return the predicted seconds to the complete answer."""
+    batch_slowdown = 1 + candidate.inflight / (4 * candidate.slots)
+    decode = work.output_tokens * candidate.token_seconds * batch_slowdown
     return predict_first_token(candidate, work) + decode
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -1,46 +1,46 @@
-"""Which host schedules which engines: every host finds the same one by a hash."""
+"""Assigns engines to the hosts that schedule them, by rendezvous hashing."""
 
 from collections.abc import Sequence
 
 from swifttrestle.internal.policy.placement import rank
-from swifttrestle.internal.policy.role_split import ENOUGH_ENGINES
+from swifttrestle.internal.policy.role_split import MIN_ENGINES_PER_GROUP
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
 
-# Hosts up to which each books by its own knowledge: at this number reports of open work are
-# 42 ms apart, about as long as an engine takes to read one long prompt.
+# Up to this number of hosts each books engines locally: hosts then exchange reports of open work
+# often enough.
 SMALL_FLEET_HOSTS = 16
-# Hosts of a zone that represent it: they watch the discovery list for all of it, and hear its
-# hosts' heartbeats. One may be lost unnoticed.
-REPRESENTATIVES = 2
+# Zone aggregators (representatives): hosts that watch the discovery list and receive heartbeats for
+# their whole zone. The loss of one is tolerated.
+REPRESENTATIVES_PER_ZONE = 2
 
 
 def is_large_fleet(members: int) -> bool:
-    """Return whether so many hosts book through schedulers."""
+    """Return whether a fleet of so many hosts books engines through schedulers."""
     return members > SMALL_FLEET_HOSTS
 
 
 def list_representatives(members: Sequence[Member], zone: str) -> list[Member]:
-    """Return the hosts of a zone that watch the list and hear heartbeats for the others."""
+    """Return the aggregators of a zone."""
     candidates = [item for item in members if item.zone == zone]
     return sorted(
         candidates, key=lambda item: (item.link_mbps, rank(f"list|{zone}", item.host)), reverse=True
-    )[:REPRESENTATIVES]
+    )[:REPRESENTATIVES_PER_ZONE]
 
 
 def find_scheduling_group(engines: Sequence[Instance], zone: str) -> str:
-    """Return the zone whose engines serve a host of `zone`, or "" for those of all zones.
+    """Return the group of engines that serves a host of `zone`: that zone, or "" for all zones.
 
-    A zone is on its own where it has engines enough to keep both roles when one is lost.
+    A zone is a group of its own if it has enough engines to keep both roles when one is lost.
     """
     near = sum(1 for item in engines if item.record.zone == zone)
-    return zone if near >= ENOUGH_ENGINES else ""
+    return zone if near >= MIN_ENGINES_PER_GROUP else ""
 
 
 def find_scheduler(members: Sequence[Member], service: str, group: str) -> Member | None:
     """Return the host that schedules a service's engines of a group.
 
-    It is one of those with the fastest link: on a slow one its answers would wait behind the
+    It is one of those with the fastest link: on a slow one its replies would be delayed by the
     bodies of requests.
     """
     candidates = [item for item in members if group in ("", item.zone)]
@@ -52,7 +52,7 @@
 def list_schedulers(
     members: Sequence[Member], service: str, engines: Sequence[Instance]
 ) -> set[str]:
-    """Return the hosts that schedule a service's engines, one for each group of them."""
+    """Return the hosts that schedule a service's engines, one for each group."""
     groups = {find_scheduling_group(engines, item.zone) for item in members}
     found = (find_scheduler(members, service, group) for group in groups)
     return {item.host for item in found if item is not None}
--- a/src/swifttrestle/internal/policy/usage_windows.py
+++ b/src/swifttrestle/internal/policy/usage_windows.py
@@ -1,51 +1,50 @@
-"""Which windows of usage are to be reported now, and with what.
+"""Decides which usage windows to report now.
 
-Load pattern: a window's counts come in from all hosts, some late, some never; the holder of the
-duty may be new, and what a former one wrote down may or may not have reached the platform. A
-second report that differs from the first is a fault that cannot be mended; a missing one only
-costs its window.
+Counts come in from all hosts, some of them late or never. A report may have been sent by a former
+holder of the duty. Sending a second, different report for a window is an error that cannot be
+undone, while a missing report only loses its window.
 """
 
 from collections.abc import Collection, Sequence
 
 from swifttrestle.internal.state.duties import RecordedUsage
 
-# Seconds after a window's end at which it is written down: three words of each host fit, and half
-# a minute of the platform's patience of ten seconds is left for an outage.
+# Seconds after a window's end at which its counts are recorded: enough for several reports of each
+# host, and early enough for the platform's deadline.
 COLLECT_SECONDS = 2.5
-# Seconds after its end from which a window that was never written down is given up: the platform
-# takes no report so late.
+# Seconds after its end from which a window that was never recorded is dropped: the platform
+# rejects reports so late.
 REPORT_DEADLINE_SECONDS = 30.0
 
 
 def list_unacknowledged_reports(reports: Sequence[RecordedUsage]) -> list[RecordedUsage]:
-    """Return what was written down and not acknowledged: it is sent again exactly as it stands."""
+    """Return the recorded reports without an acknowledgement, to be sent again unchanged."""
     return [item for item in reports if not item.taken]
 
 
 def may_have_been_reported(window: int, until: float, seconds: float) -> bool:
-    """Return whether a holder of whom no word is left may have reported a window.
+    """Return whether a former holder whose records are lost may have reported a window.
 
-    That one may have acted until a Unix time. Its report cannot be repeated as it was, and a
-    missing one costs its window alone.
+    It may have acted until the Unix time `until`. Its report cannot be repeated unchanged, so the
+    window is not reported again.
     """
     return (window + 1) * seconds + COLLECT_SECONDS <= until
 
 
 def list_due_windows(
-    counted: Collection[int],
+    counted_windows: Collection[int],
     reports: Sequence[RecordedUsage],
     now: float,
     seconds: float,
 ) -> list[int]:
-    """Return the windows of so many seconds that are to be written down at a Unix time.
+    """Return the windows of `seconds` that are due to be recorded at the Unix time `now`.
 
-    Where windows were reported before, each one since is due, also without a request: a missing
-    report cannot be told from one that says so.
+    After the first report each window is due, even one without requests: otherwise it could not
+    be told from one whose report is missing.
     """
     written = {item.window for item in reports}
     last = int((now - COLLECT_SECONDS) // seconds) - 1
     first = int((now - REPORT_DEADLINE_SECONDS) // seconds)
-    follows = range(max(written) + 1, last + 1) if written else ()
-    due = {window for window in (*counted, *follows) if first <= window <= last}
+    following = range(max(written) + 1, last + 1) if written else ()
+    due = {window for window in (*counted_windows, *following) if first <= window <= last}
     return sorted(due - written)
