--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one instance: send, check the answer, deliver it."""
+"""One attempt of a request at one instance: sends it, checks the answer and delivers it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -24,27 +24,30 @@
     strip_answer_headers,
 )
 
-# Answers up to this size, in bytes, are read whole before the first byte goes to the caller,
-# so that a broken one can be tried again or be told as such.
-WHOLE_ANSWER_BYTES = 64 * 1024
-# Bytes to which an answer of unknown length is gathered.
-LARGEST_GATHERED_ANSWER = 64 * WHOLE_ANSWER_BYTES
+# Answers up to this size are buffered before the first byte goes to the caller, so that a broken
+# one can be retried or replaced by an error.
+MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
+# Limit for buffering an answer of unknown length.
+MAX_BUFFERED_UNSIZED_ANSWER_BYTES = 64 * MAX_BUFFERED_ANSWER_BYTES
 FIRST_ERROR_STATUS = 500
-LARGEST_SMALL_ANSWER = 64 * 1024
+MAX_REFUSAL_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True)
 class AttemptPlan:
-    """How one attempt is made; `patience` bounds the wait for the answer's head, in seconds."""
+    """How to make one attempt; `head_timeout` bounds the wait for the answer's head, in seconds.
+
+    `retry_failure` turns a server error into an exception, for another attempt.
+    """
 
     instance: Instance
     forwarding: ForwardingHeaders
-    patience: float
+    head_timeout: float
     retry_failure: bool = False
 
 
 def build_request(ctx: Context, forwarding: ForwardingHeaders) -> OutgoingRequest:
-    """Return the request as it goes to an upstream."""
+    """Return the request as it is sent to an upstream."""
     head = ctx.request.head
     return OutgoingRequest(
         head.method,
@@ -61,71 +64,70 @@
 ) -> tuple[ResponseHead, Body]:
     """Send the request and return the checked head of its answer.
 
-    Raises UpstreamBusyError or UpstreamLeavingError where the upstream proved that nothing
-    ran, and UpstreamBrokenError where that is not known.
+    Raises UpstreamBusyError or UpstreamLeavingError where the upstream stated that the request
+    did not run, and UpstreamBrokenError where that is unknown.
     """
     try:
-        async with asyncio.timeout(min(plan.patience, max(0.0, ctx.left))):
+        async with asyncio.timeout(min(plan.head_timeout, max(0.0, ctx.seconds_left))):
             head, body = await connection.exchange(build_request(ctx, plan.forwarding))
     except TimeoutError:
-        raise UpstreamSilentError("no answer in time") from None
+        raise UpstreamSilentError("no answer head before the timeout") from None
     facts = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
-    # An engine that turns a request away may do so before it has read the id.
+    # An engine may refuse a request before it has read the id.
     if facts.request_id != ctx.facts.request_id and not (facts.not_run and not facts.request_id):
-        raise CrossedAnswerError("the answer names another request", sent=True)
+        raise CrossedAnswerError("the answer carries the id of another request", sent=True)
     if facts.not_run:
-        await body.read_whole(LARGEST_SMALL_ANSWER)
+        await body.read_whole(MAX_REFUSAL_BYTES)
         if facts.replaced:
-            raise UpstreamLeavingError(f"{plan.instance.name} is not at its address any more")
+            raise UpstreamLeavingError(f"{plan.instance.name} was replaced at its address")
         raise UpstreamBusyError(f"{plan.instance.name} refused with {head.status}")
     if head.status < 300 and not facts.signed:
-        raise UpstreamBrokenError("a success has no signature", sent=True)
+        raise UpstreamBrokenError(f"the answer with {head.status} has no signature", sent=True)
     return head, body
 
 
 async def make_attempt(
     ctx: Context, pool: ConnectionPool, plan: AttemptPlan, relay: EventRelay | None = None
 ) -> None:
-    """Make one attempt, and keep in the context whether the request may have run.
+    """Make one attempt, and record in the context whether the request may have run.
 
-    Raises what `deliver` raises. Where the caller leaves, the request counts as having run.
+    Raises what `deliver` raises. A request that is cancelled counts as having run.
     """
-    before = ctx.may_have_run
+    ran_before = ctx.may_have_run
     ctx.may_have_run = True
     try:
         await deliver(ctx, pool, plan, relay)
     except (UpstreamBusyError, UpstreamLeavingError):
-        ctx.may_have_run = before
+        ctx.may_have_run = ran_before
         raise
     except UpstreamBrokenError as error:
-        ctx.may_have_run = before or error.sent
+        ctx.may_have_run = ran_before or error.sent
         raise
 
 
 async def deliver(
     ctx: Context, pool: ConnectionPool, plan: AttemptPlan, relay: EventRelay | None = None
 ) -> None:
-    """Make one attempt and pass its answer on.
+    """Make one attempt and deliver its answer to the caller.
 
-    Raises what `read_head` raises, and UpstreamBrokenError where the answer broke off
-    before the caller got a byte of it.
+    Raises what `read_head` raises, and UpstreamBrokenError where the answer broke off.
     """
     instance = plan.instance
     async with pool.acquire(instance.name, instance.record.address) as connection:
-        # It may have said so while the connection came up.
+        # It may have started to drain while the connection was established.
         if instance.leaving:
-            raise UpstreamLeavingError(f"{instance.name} leaves")
+            raise UpstreamLeavingError(f"{instance.name} is draining")
         try:
             head, body = await read_head(ctx, connection, plan)
         except (UpstreamBusyError, UpstreamLeavingError):
-            # The connection is in order: the refusal was read whole.
+            # The connection can be reused: the refusal was read to its end.
             await connection.finish(patience=0.0)
             raise
         if head.status >= FIRST_ERROR_STATUS and plan.retry_failure:
-            raise FailedByUpstreamError(f"the upstream failed with {head.status}", sent=True)
+            raise FailedByUpstreamError(f"the upstream answered {head.status}", sent=True)
         if relay is not None and head.status < 300:
-            await relay.pass_on(ctx, head, body)
-        elif head.framing is Framing.LENGTH and head.length > WHOLE_ANSWER_BYTES:
+            await relay.relay(ctx, head, body)
+        elif head.framing is Framing.LENGTH and head.length > MAX_BUFFERED_ANSWER_BYTES:
             await _stream_answer(ctx, head, body)
         else:
             await _send_whole(ctx, head, body)
@@ -133,7 +135,7 @@
 
 
 async def _send_whole(ctx: Context, head: ResponseHead, body: Body) -> None:
-    content = await body.read_whole(max(head.length, LARGEST_GATHERED_ANSWER))
+    content = await body.read_whole(max(head.length, MAX_BUFFERED_UNSIZED_ANSWER_BYTES))
     headers = strip_answer_headers(head.headers)
     ctx.note_first_byte()
     if head.framing is Framing.NONE:
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -1,4 +1,4 @@
-"""Books engines for requests: one to read the prompt and one to make the tokens."""
+"""Books engines for requests: one for prefill and one for decode."""
 
 import asyncio
 import math
@@ -6,105 +6,115 @@
 from collections import defaultdict
 from dataclasses import replace
 
-from swifttrestle.internal.forward.finding import EngineFinder
+from swifttrestle.internal.forward.engine_finder import EngineFinder
 from swifttrestle.internal.forward.gateway_state import GatewayState
-from swifttrestle.internal.forward.turns import TurnPredictor
+from swifttrestle.internal.forward.wait_prediction import WaitPredictor
 from swifttrestle.internal.policy.queueing import AdmissionQueue
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity, Outcome, Stage
 from swifttrestle.internal.state.fleet import Instance, OpenWork
 
-# Share of the longest wait for a reading in time that a late request may have at an engine: the
-# engine's queue stays short for those that can be in time.
-LATE_READ_SHARE = 0.1
+# Longest wait of a late request at a prefill engine, as a share of that of one in time: keeps the
+# engines' queues short for the others.
+LATE_PREFILL_WAIT_SHARE = 0.1
 
 
 class Booker(ABC):
-    """Finds engines for requests and is told how each was used."""
+    """Books engines for requests and takes them back."""
 
     @abstractmethod
     async def book(self, request: BookingRequest) -> Booking | NoCapacity:
-        """Return the engines of a request, or NoRoom once its longest wait is over."""
+        """Return the engines booked for a request, or NoCapacity after its longest wait."""
 
     @abstractmethod
     def end(self, booking: Booking, stage: Stage, outcome: Outcome, seconds: float) -> None:
-        """End one stage of a booking, of which each has both, after so many seconds."""
+        """End one stage of a booking, which took so many seconds; each booking has both stages."""
 
     @abstractmethod
     def serve_queues(self) -> None:
-        """Look at the waiting requests; called when room may have come."""
+        """Book engines for waiting requests; called when a slot may have become free."""
 
 
 class LocalBooker(Booker):
-    """Books by this host's own knowledge of open work."""
-
-    def __init__(self, parts: GatewayState) -> None:
-        """Use the host's shared parts."""
-        self._state = parts
-        self._finder = EngineFinder(parts)
-        self._turns = TurnPredictor(parts)
-        # Short prompts wait for a decoding engine only, and so not behind long ones.
+    """Books engines by the open work that this host knows of."""
+
+    def __init__(self, state: GatewayState) -> None:
+        """Use the host's shared state."""
+        self._state = state
+        self._finder = EngineFinder(state)
+        self._wait_predictor = WaitPredictor(state)
+        # Short prompts need only a decode engine, so they do not wait behind long ones.
         self._queues: dict[tuple[str, bool], AdmissionQueue[Booking]] = defaultdict(AdmissionQueue)
-        # Requests that cannot be in time any more, served while none of the others waits.
-        self._late: dict[tuple[str, bool], AdmissionQueue[Booking]] = defaultdict(AdmissionQueue)
+        # Requests that cannot meet their latency objective; served while no other request waits.
+        self._late_queues: dict[tuple[str, bool], AdmissionQueue[Booking]] = defaultdict(
+            AdmissionQueue
+        )
 
     def serve_queues(self) -> None:
-        """Give engines to waiters."""
-        for queue in (*self._queues.values(), *self._late.values()):
+        """Book engines for waiting requests."""
+        for queue in (*self._queues.values(), *self._late_queues.values()):
             queue.serve()
 
     async def book(self, request: BookingRequest) -> Booking | NoCapacity:
-        """Book at once, or as soon as engines have room."""
-        began = _now()
-        kind = request.service, self._finder.is_short(request)
-        queue = self._queues[kind]
-        longest = max(0.0, min(request.longest_wait, request.left))
+        """Book engines at once, or as soon as some are free."""
+        started_at = _now()
+        queue_key = request.service, self._finder.is_short(request)
+        queue = self._queues[queue_key]
+        longest_wait = max(0.0, min(request.longest_wait, request.left))
         waiting = len(queue)
-        ahead = queue.count_before(request.priority, began + longest)
-        if ahead and self._turns.predict_in_time(request, ahead) > longest:
-            longest = 0.0
+        requests_ahead = queue.count_before(request.priority, started_at + longest_wait)
+        if (
+            requests_ahead
+            and self._wait_predictor.predict_queue_wait(request, requests_ahead) > longest_wait
+        ):
+            longest_wait = 0.0
         booking = await queue.wait(
-            lambda: self._finder.find(request, _now() - began),
+            lambda: self._finder.find(request, _now() - started_at),
             self.release,
             request.priority,
-            began + longest,
-            longest,
+            started_at + longest_wait,
+            longest_wait,
         )
         if booking is None:
-            booking = await self._wait_late(kind, request, began)
+            booking = await self._wait_late(queue_key, request, started_at)
         if booking is not None:
             return booking
-        return NoCapacity(waiting, self._turns.predict_soonest(request.service))
+        return NoCapacity(waiting, self._wait_predictor.predict_first_free(request.service))
 
     async def _wait_late(
-        self, kind: tuple[str, bool], request: BookingRequest, began: float
+        self, queue_key: tuple[str, bool], request: BookingRequest, started_at: float
     ) -> Booking | None:
-        """Wait for what requests in time leave; None at once where that comes too late."""
-        longest = min(request.max_wait, request.left) - (_now() - began)
-        queue = self._late[kind]
-        if longest <= 0 or self._turns.predict_late(request, len(queue) + 1) > longest:
+        """Wait for capacity that requests in time leave; return None if it is too late for that."""
+        longest_wait = min(request.max_wait, request.left) - (_now() - started_at)
+        queue = self._late_queues[queue_key]
+        if (
+            longest_wait <= 0
+            or self._wait_predictor.predict_late_wait(request, len(queue) + 1) > longest_wait
+        ):
             return None
         return await queue.wait(
             lambda: (
-                None if len(self._queues[kind]) else self._finder.find(self._make_late(request))
+                None
+                if len(self._queues[queue_key])
+                else self._finder.find(self._shorten_prefill_wait(request))
             ),
             self.release,
             request.priority,
-            began + request.max_wait,
-            longest,
+            started_at + request.max_wait,
+            longest_wait,
         )
 
-    def _make_late(self, request: BookingRequest) -> BookingRequest:
-        """Return the request with the wait at an engine that leaves it to others."""
-        longest = request.longest_read_wait * LATE_READ_SHARE
-        return replace(request, longest_read_wait=longest, latest_read=math.inf)
+    def _shorten_prefill_wait(self, request: BookingRequest) -> BookingRequest:
+        """Return the request with the shorter wait at an engine that late ones may have."""
+        longest_wait = request.longest_read_wait * LATE_PREFILL_WAIT_SHARE
+        return replace(request, longest_read_wait=longest_wait, latest_read=math.inf)
 
     def book_now(self, request: BookingRequest) -> Booking | None:
-        """Book if there is room that no waiting request is to have, else return None."""
+        """Book engines if some are free and no waiting request goes first, else return None."""
         queue = self._queues[request.service, self._finder.is_short(request)]
         return queue.take(lambda: self._finder.find(request), request.priority)
 
     def end(self, booking: Booking, stage: Stage, outcome: Outcome, seconds: float) -> None:
-        """Take an engine's work off, and learn its speed from a prompt that it has read."""
+        """Release an engine, and learn its prefill rate from a prompt that it has prefilled."""
         if stage is Stage.READ:
             if outcome is Outcome.DONE:
                 self._state.note_prompt(booking.reader, booking.parts, read=True)
@@ -115,12 +125,12 @@
             self._release(booking.reader, OpenWork(booking.tokens, 0 if booking.direct else 1))
         else:
             if outcome is Outcome.DONE and not booking.direct:
-                # It has fetched what the reader read, and keeps that like its own.
+                # The decode engine has fetched the prompt's KV cache and caches it as well.
                 self._state.note_prompt(booking.decoder, booking.parts, read=True)
             self._release(booking.decoder, OpenWork(0, 1))
 
     def release(self, booking: Booking) -> None:
-        """Undo a booking that nobody will use."""
+        """Release a booking that is not used."""
         self.end(booking, Stage.READ, Outcome.CANCELLED, 0.0)
         self.end(booking, Stage.DECODE, Outcome.CANCELLED, 0.0)
 
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -1,4 +1,4 @@
-"""What each upstream takes now, by its own words: hears them in all answers, and keeps them."""
+"""Tracks the backpressure that upstreams signal in their answers."""
 
 import asyncio
 from collections import defaultdict
@@ -15,89 +15,93 @@
 from swifttrestle.platform.backpressure import read_backpressure
 from swifttrestle.platform.wire import has_request_id, is_from_instance
 
-# The source of a word that this host heard itself.
-OWN = "own"
-# Share by which a limit must differ from the one known for others to be told of it: what differs
-# less stays within what an upstream bears beyond its limit.
-TOLD_CHANGE_SHARE = 0.1
-# Seconds of rest where the time that is asked for cannot be read, and at most.
+# Log source of a signal that this host got itself.
+OWN_SOURCE = "own"
+# Share by which a rate limit must change to be announced to other hosts.
+MIN_ANNOUNCED_CHANGE_SHARE = 0.1
+# Cool-down where the requested one is malformed, and maximum cool-down.
 UNKNOWN_REST_SECONDS = 1.0
 LONGEST_REST_SECONDS = 3600.0
-# Seconds after which a start that nothing is heard of is forgotten, and between looks for these.
-FORGET_SECONDS = 600.0
-EXPIRE_SECONDS = 30.0
+# Seconds after which the condition of an unlisted instance is dropped, and between checks.
+RETENTION_SECONDS = 600.0
+EXPIRY_INTERVAL_SECONDS = 30.0
 
 
 class UpstreamConditionTable:
-    """The conditions of all starts that this host has heard of; used from the event loop alone."""
+    """The conditions of all known upstreams, by the names of their instance starts.
+
+    Used only from the event loop.
+    """
 
     def __init__(self, fleet: Fleet, metrics: Metrics) -> None:
-        """Start with nothing heard; starts are those of `fleet`."""
+        """Start empty; tracks the instances of `fleet`."""
         self._fleet = fleet
         self._metrics = metrics
         self._conditions: dict[str, UpstreamCondition] = defaultdict(UpstreamCondition)
         fleet.announced_leaving = self.is_leaving
-        # Called with a start whose limit this host has heard to be another one.
+        # Called with an instance and its rate limit when an answer changes that.
         self.announce_limit: Callable[[str, RateLimit], None] = do_nothing
-        # Called with a start that has told this host that it leaves.
+        # Called with an instance when an answer says that it is draining.
         self.announce_leaving: Callable[[str], None] = do_nothing
-        # Called when an upstream that was held back may take work again.
+        # Called when an upstream may accept requests again.
         self.on_room: Callable[[], None] = do_nothing
 
-    # Asking.
+    # Queries.
 
     def find_rate_limit(self, start: str) -> RateLimit:
-        """Return the newest word on a start's limit."""
-        known = self._conditions.get(start)
-        return known.rate_limit if known else RateLimit()
+        """Return the latest known rate limit of an instance."""
+        condition = self._conditions.get(start)
+        return condition.rate_limit if condition else RateLimit()
 
     def find_wait_seconds(
         self, instance: Instance, now: float, urgent: bool, permitted: bool = False
     ) -> float:
-        """Return the seconds for which an upstream takes no request from this host."""
-        known = self._conditions.get(instance.name)
-        return known.find_wait_seconds(now, urgent, permitted) if known else 0.0
+        """Return the seconds until an upstream accepts a request from this host; 0 for now."""
+        condition = self._conditions.get(instance.name)
+        return condition.find_wait_seconds(now, urgent, permitted) if condition else 0.0
 
-    def find_shortest_hold(
+    def find_shortest_wait(
         self, instances: Iterable[Instance], now: float, urgent: bool = False
     ) -> float:
-        """Return the seconds until one of some upstreams takes a request; 0 where there is none."""
+        """Return the seconds until any of some upstreams accepts a request; 0 if there are none."""
         return min((self.find_wait_seconds(item, now, urgent) for item in instances), default=0.0)
 
     def check(self, instance: Instance, urgent: bool, permitted: bool = False) -> None:
-        """Raise UpstreamHeldError for an upstream that takes no request from this host now."""
+        """Raise UpstreamHeldError if an upstream accepts no request from this host now."""
         seconds = self.find_wait_seconds(instance, _now(), urgent, permitted)
         if seconds > 0:
-            raise UpstreamHeldError(f"{instance.name} takes nothing now", seconds)
+            raise UpstreamHeldError(
+                f"{instance.name} accepts no requests for {seconds:.2f} s", seconds
+            )
 
-    # Hearing.
+    # Updates.
 
     def record_answer(self, start: str, head: ResponseHead, sent_at: float) -> None:
-        """Take over what an answer says; its request was sent at the loop's time `sent_at`."""
+        """Record the signals in an answer; `sent_at` is when its request was sent (loop's time)."""
         instance = self._fleet.instances.get(start)
         if instance is not None and not is_from_instance(
             head.status, head.headers, instance.record.instance
         ):
-            # Another one has its address now and speaks for itself.
+            # Another instance has taken over the address.
             return
-        said = read_backpressure(head.status, head.headers)
-        if said.unreadable:
-            self._note_odd(start, said.unreadable)
-        self._hear_rate(start, said, head, sent_at)
-        if said.leaving and self.take_leaving(start, OWN):
+        backpressure = read_backpressure(head.status, head.headers)
+        if backpressure.unreadable:
+            self._log_malformed(start, backpressure.unreadable)
+        self._record_rate_limit(start, backpressure, head, sent_at)
+        if backpressure.leaving and self.apply_leaving(start, OWN_SOURCE):
             self.announce_leaving(start)
-        if said.rest != 0.0:
-            self._hear_rest(start, said.rest)
+        if backpressure.rest != 0.0:
+            self._record_rest(start, backpressure.rest)
         elif start in self._conditions and self._conditions[start].note_taken(sent_at):
             self.on_room()
 
     def is_leaving(self, start: str) -> bool:
-        """Return whether a start has said that it leaves; it does not take that back."""
-        known = self._conditions.get(start)
-        return known is not None and known.leaving
+        """Return whether an instance is draining; that is final."""
+        condition = self._conditions.get(start)
+        return condition is not None and condition.leaving
 
-    def take_leaving(self, start: str, source: str) -> bool:
-        """Take over that a start has said that it leaves; return whether that was news."""
+    def apply_leaving(self, start: str, source: str) -> bool:
+        """Record that an instance is draining; return whether that is new."""
         if self.is_leaving(start):
             return False
         self._conditions[start].leaving = True
@@ -106,14 +110,14 @@
         return True
 
     def apply_rate_limit(self, start: str, rate_limit: RateLimit, source: str) -> bool:
-        """Take over a word on a start's limit if it is newer; return whether it says otherwise."""
+        """Record a rate limit if it is newer; return whether it differs significantly."""
         known = self._conditions.get(start)
         before = known.rate_limit if known else RateLimit()
         if rate_limit.at <= before.at:
             return False
         condition = self._conditions[start]
         condition.rate_limit = rate_limit
-        if not _differs(rate_limit.rate, before.rate):
+        if not _differ_significantly(rate_limit.rate, before.rate):
             return False
         condition.lift_denials()
         log_event("upstream limit", instance=start, rate=rate_limit.rate, source=source)
@@ -121,94 +125,94 @@
         return True
 
     def deny(self, start: str, seconds: float, urgent: bool) -> None:
-        """Take over that the limit of a start leaves no request to this host for a while."""
+        """Record that the rate limit of an instance allows this host no request for some time."""
         now = _now()
         self._conditions[start].deny(now + seconds, urgent)
         self._metrics.count("upstream_limit_denials_total")
         asyncio.get_running_loop().call_at(now + seconds, self.on_room)
 
     def note_sent(self, instance: Instance) -> None:
-        """Count a request that goes to an upstream, by the condition that it is in."""
-        known = self._conditions.get(instance.name)
-        if known is not None:
-            known.note_sent(_now())
+        """Record that a request is sent to an upstream."""
+        condition = self._conditions.get(instance.name)
+        if condition is not None:
+            condition.note_sent(_now())
         self._metrics.count(
             "upstream_sends_total",
             service=instance.record.service,
-            condition=known.name if known else "open",
+            condition=condition.name if condition else "open",
         )
 
     def describe(self, now: float) -> dict[str, dict[str, object]]:
-        """Return what starts say that do not take all work, for the dump of the state."""
+        """Return the instances that restrict requests, for the state dump."""
         return {
             start: {
-                "leaving": known.leaving,
-                "limit": known.rate_limit.rate,
-                "limit_heard_before": round(now - known.rate_limit.at, 1)
-                if known.rate_limit.at > NEVER
+                "leaving": condition.leaving,
+                "limit": condition.rate_limit.rate,
+                "limit_heard_before": round(now - condition.rate_limit.at, 1)
+                if condition.rate_limit.at > NEVER
                 else None,
-                "rests_for": round(max(0.0, known.rest_until - now), 2),
-                "held_for": round(known.find_wait_seconds(now, urgent=False), 2),
+                "rests_for": round(max(0.0, condition.rest_until - now), 2),
+                "held_for": round(condition.find_wait_seconds(now, urgent=False), 2),
             }
-            for start, known in self._conditions.items()
-            if known.name != "open" or known.rest_until > now
+            for start, condition in self._conditions.items()
+            if condition.name != "open" or condition.rest_until > now
         }
 
     async def run(self) -> None:
-        """Forget starts that are long gone, for as long as the process lives."""
+        """Drop the conditions of instances that are no longer listed, until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRE_SECONDS)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
             now = _now()
             for start in self._fleet.instances.keys() & self._conditions.keys():
                 self._conditions[start].seen_at = now
-            for start, known in list(self._conditions.items()):
-                if known.seen_at == 0.0:
-                    known.seen_at = now
-                elif now - known.seen_at > FORGET_SECONDS:
+            for start, condition in list(self._conditions.items()):
+                if condition.seen_at == 0.0:
+                    condition.seen_at = now
+                elif now - condition.seen_at > RETENTION_SECONDS:
                     del self._conditions[start]
 
-    def _hear_rate(
-        self, start: str, said: Backpressure, head: ResponseHead, sent_at: float
+    def _record_rate_limit(
+        self, start: str, backpressure: Backpressure, head: ResponseHead, sent_at: float
     ) -> None:
         rate_limit = self.find_rate_limit(start)
-        if said.rate is None and not _ends_limit(rate_limit, head, sent_at):
+        if backpressure.rate is None and not _lifts_limit(rate_limit, head, sent_at):
             return
-        heard = RateLimit(said.rate, _now())
-        if self.apply_rate_limit(start, heard, OWN):
-            self.announce_limit(start, heard)
+        limit = RateLimit(backpressure.rate, _now())
+        if self.apply_rate_limit(start, limit, OWN_SOURCE):
+            self.announce_limit(start, limit)
 
-    def _note_odd(self, start: str, words: tuple[str, ...]) -> None:
-        """Tell of words that cannot be read, once for each: they may stand in every answer."""
-        self._metrics.count("upstream_odd_words_total", len(words))
+    def _log_malformed(self, start: str, values: tuple[str, ...]) -> None:
+        """Log malformed header values, once, since every answer may have them."""
+        self._metrics.count("upstream_odd_words_total", len(values))
         condition = self._conditions[start]
-        if words != condition.unreadable:
-            condition.unreadable = words
-            log_event("upstream word not read", instance=start, words=words)
+        if values != condition.unreadable:
+            condition.unreadable = values
+            log_event("upstream word not read", instance=start, words=values)
 
-    def _hear_rest(self, start: str, seconds: float | None) -> None:
+    def _record_rest(self, start: str, seconds: float | None) -> None:
         now = _now()
         condition = self._conditions[start]
         if condition.rest_until <= now:
             log_event("upstream asks for rest", instance=start, seconds=seconds)
         self._metrics.count("upstream_rests_total")
         rest = UNKNOWN_REST_SECONDS if seconds is None else min(seconds, LONGEST_REST_SECONDS)
-        # Each request that it refuses in that time costs its service a repeat.
+        # Requests that it would refuse until then would use up the retry budget.
         condition.rest(now + rest)
         asyncio.get_running_loop().call_at(condition.rest_until, self.on_room)
 
 
-def _differs(rate: float | None, other: float | None) -> bool:
-    """Return whether two limits differ by more than is worth telling of."""
+def _differ_significantly(rate: float | None, other: float | None) -> bool:
+    """Return whether two rate limits differ enough to be announced."""
     if rate is None or other is None:
         return rate is not other
-    return abs(rate - other) > TOLD_CHANGE_SHARE * other
+    return abs(rate - other) > MIN_ANNOUNCED_CHANGE_SHARE * other
 
 
-def _ends_limit(rate_limit: RateLimit, head: ResponseHead, sent_at: float) -> bool:
-    """Return whether an answer that names no limit means that there is none any more.
+def _lifts_limit(rate_limit: RateLimit, head: ResponseHead, sent_at: float) -> bool:
+    """Return whether an answer without a rate limit lifts the known one.
 
-    Others may have been on their way when the limit was named, and calls of the system itself may
-    be answered without it.
+    Ignores answers to requests from before the limit was announced, and answers to internal calls,
+    which may not state it.
     """
     return rate_limit.rate is not None and sent_at > rate_limit.at and has_request_id(head.headers)
 
--- a/src/swifttrestle/internal/forward/context.py
+++ b/src/swifttrestle/internal/forward/context.py
@@ -1,4 +1,4 @@
-"""What is known of one request while it is served."""
+"""The state of one request while it is served."""
 
 import asyncio
 import contextlib
@@ -24,9 +24,10 @@
 class Context:
     """One request; `deadline` is in the loop's time.
 
-    `urgent` says that no route to the same service has a higher priority. `may_have_run` is
-    set once an upstream has been sent a request that it has not proved to have left alone.
-    `steps` are the decisions so far, for the request's log line.
+    `urgent` is set if no route to the same service has a higher priority. `may_have_run` is set
+    once the request was sent to an upstream that has not stated that it did not run. `runs` counts
+    attempts that may have run, `failed_prefills` failed prefills, and `arrivals` all attempts that
+    were sent. `steps` are the decisions so far, for the request's log line.
     """
 
     request: IncomingRequest
@@ -38,30 +39,30 @@
     deadline: float
     config_version: int
     urgent: bool = True
-    # Whose key the request carries; None where it carries none.
+    # The workspace of the request's key; None without a key.
     workspace: Workspace | None = None
     may_have_run: bool = False
     runs: int = 0
-    lost_reads: int = 0
+    failed_prefills: int = 0
     first_byte: float | None = None
     arrivals: int = 0
     excluded: set[str] = field(default_factory=set)
     steps: list[str] = field(default_factory=list)
-    # The loop's times until which permits hold, by the upstream that they are for.
+    # Expiry of rate limit permits in the loop's time, by instance.
     permits: dict[str, float] = field(default_factory=dict)
-    # Whether this request tries out, for all hosts, whether it still crashes its upstreams.
-    on_trial: bool = False
-    # Where the request was open when its time was over.
-    open_to_the_end: Instance | None = None
-    # Called at the first byte of an answer that streams.
+    # Whether this request is the trial of a quarantined one.
+    is_trial: bool = False
+    # The instance at which the request was open when it was cancelled.
+    cancelled_instance: Instance | None = None
+    # Called at the first byte of the answer.
     on_first_byte: Callable[[], None] | None = None
-    # Called once with the workspace's name when the request has begun to run.
+    # Called with the workspace's name at the first byte of the answer.
     on_run: Callable[[str], None] | None = None
-    _name: RequestFingerprint | None = None
+    _cached_fingerprint: RequestFingerprint | None = None
 
     @property
     def priority(self) -> int:
-        """The workspace's priority, or the route's where the workspace has none of its own."""
+        """The workspace's priority, or the route's where the workspace has none."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
@@ -72,39 +73,41 @@
         return self.route.repeat is RetrySafety.IDEMPOTENT
 
     @property
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Seconds to the deadline."""
         return self.deadline - asyncio.get_running_loop().time()
 
     @property
     def age(self) -> float:
-        """Seconds since the request was read."""
+        """Seconds since the request was received."""
         return asyncio.get_running_loop().time() - self.request.received
 
     @functools.cached_property
     def fingerprint_head(self) -> bytes:
-        """The half of the request's name that is known before its body has arrived."""
+        """The half of the request's fingerprint that does not depend on its body."""
         return fingerprint_head(self.request.head, self.workspace.name if self.workspace else "")
 
     @property
-    def name(self) -> RequestFingerprint | None:
-        """The request's name, None while its body is not whole; its bytes are read once."""
-        if self._name is None:
+    def fingerprint(self) -> RequestFingerprint | None:
+        """The request's fingerprint; None until its body is complete."""
+        if self._cached_fingerprint is None:
             workspace = self.workspace.name if self.workspace else ""
-            self._name = fingerprint_request(self.request.head, workspace, self.request.body)
-        return self._name
+            self._cached_fingerprint = fingerprint_request(
+                self.request.head, workspace, self.request.body
+            )
+        return self._cached_fingerprint
 
     @contextlib.contextmanager
-    def open_at(self, instance: Instance) -> Iterator[None]:
-        """Keep where the request is open if it is called off there."""
+    def record_cancellation(self, instance: Instance) -> Iterator[None]:
+        """Record the instance if the request is cancelled while it is open there."""
         try:
             yield
         except asyncio.CancelledError:
-            self.open_to_the_end = instance
+            self.cancelled_instance = instance
             raise
 
     def note_first_byte(self) -> None:
-        """Keep the request's age at the first byte of its answer."""
+        """Record the request's age at the first byte of its answer."""
         if self.first_byte is not None:
             return
         self.first_byte = self.age
@@ -114,13 +117,13 @@
             self.on_first_byte()
 
     def note(self, step: str) -> None:
-        """Keep a decision, with the request's age in milliseconds, for its log line."""
+        """Add a decision, with the request's age in milliseconds, to its log line."""
         self.steps.append(f"{self.age * 1000:.0f}:{step}")
 
     def refuse(self, code: Code, message: str, retry_after: float) -> RefusedError:
-        """Return the final answer for a request that is given up on.
+        """Return the error that ends the request.
 
-        Where it may have run, the answer must not promise that it has not.
+        Where the request may have run, the code must not state that it has not.
         """
         if self.may_have_run:
             return RefusedError(Code.ANSWER_LOST, message)
--- a/src/swifttrestle/internal/forward/crashes.py
+++ b/src/swifttrestle/internal/forward/crashes.py
@@ -1,8 +1,8 @@
-"""Which requests were open at an upstream that crashed, as far as this host saw.
+"""Detects upstream crashes, and which requests were open at the crashed upstream.
 
-A request that breaks off tells little: a connection was lost, a link was cut, an answer was
-spoiled. It counts against the request only once the upstream itself is known to have ended, which
-its address or its next start tells.
+A failed request alone may be due to a lost connection or a broken answer. It counts as open at a
+crash only once the upstream is known to have ended: its address refuses connections, or it has
+been restarted.
 """
 
 import asyncio
@@ -16,163 +16,163 @@
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle.internal.transport.pool import ConnectionPool
 
-# Seconds for which a request that broke off may still turn out to have been open at a crash. An
-# upstream that falls silent is told by the list alone: three heartbeats of 1.2 s and a second to
-# hear of it.
-UNSETTLED_SECONDS = 6.0
-# Seconds after it broke off for which a doubtful one counts at a later start of its upstream: a
-# start within a second, its first heartbeat, and a second to hear of it. A supervisor that keeps
-# the port open let one request end 16 to 42 upstreams while such a start found nothing.
-DOUBTFUL_SECONDS = 3.0
-# Seconds between the loss of a connection and the look at its upstream's address: a process that
-# ends closes its connections and its port one after the other.
+# Seconds for which a failed request may still turn out to have been open at a crash. An upstream
+# that stops responding is reported by the discovery list only after several missed heartbeats.
+PENDING_SECONDS = 6.0
+# The same for a failure after which the address still accepted connections, as a supervisor that
+# holds the port does: it counts only if the upstream is restarted within this time.
+OPEN_PORT_PENDING_SECONDS = 3.0
+# Seconds between the loss of a connection and the probe of the upstream's address: a process that
+# ends closes its connections before its port.
 LOOK_DELAY_SECONDS = 0.005
-# Seconds that a repeat waits for looks: a live host's address tells within milliseconds.
-LOOK_SECONDS = 0.05
-# Requests kept for one upstream: more than one host has open there.
-MOST_UNSETTLED = 256
-# Upstreams for which requests are kept before those that are long past are looked for.
-MOST_UPSTREAMS = 64
-# Requests that a line names.
-MOST_SHOWN = 20
+# Seconds for which a repeat waits for probes.
+PROBE_TIMEOUT_SECONDS = 0.05
+# Pending failures of one upstream.
+MAX_PENDING_PER_UPSTREAM = 256
+# Upstreams with pending failures from which expired ones are removed.
+MAX_UPSTREAMS_BEFORE_CLEANUP = 64
+# Request fingerprints in a log line.
+MAX_LOGGED_FINGERPRINTS = 20
 
 OnCrash = Callable[[Instance, Sequence[RequestFingerprint]], None]
 
 
 @dataclass(frozen=True)
-class _Unsettled:
-    """A request that got no answer from an upstream; `silent` where no connection was lost.
+class _PendingFailure:
+    """A request that got no answer from an upstream; `timed_out` if its connection was not lost.
 
-    `doubtful` is one after which the upstream's address took a connection: it lives, or another
-    process holds its port.
+    `port_open` is set once the upstream's address has accepted a connection since: it is alive, or
+    another process holds its port.
     """
 
-    name: RequestFingerprint
+    fingerprint: RequestFingerprint
     at: float
-    silent: bool
-    doubtful: bool = False
+    timed_out: bool
+    port_open: bool = False
 
 
-class CrashWatch:
-    """Looks at upstreams at which requests broke off, and tells which requests a crash met."""
+class CrashDetector:
+    """Probes upstreams at which requests failed, and reports crashes."""
 
     def __init__(self, pool: ConnectionPool, on_crash: OnCrash) -> None:
-        """Look through `pool`; call `on_crash` for each crash with the requests open there."""
+        """Probe through `pool`; call `on_crash` for each crash with the requests open there."""
         self._pool = pool
         self._on_crash = on_crash
-        self._unsettled: dict[str, list[_Unsettled]] = defaultdict(list)
-        self._looks: dict[str, asyncio.Task[None]] = {}
+        self._pending: dict[str, list[_PendingFailure]] = defaultdict(list)
+        self._probes: dict[str, asyncio.Task[None]] = {}
 
-    def note_broken(self, instance: Instance, name: RequestFingerprint | None) -> None:
-        """Take over that a request's connection was lost, and look at the upstream."""
-        if self._keep(instance, name, silent=False) and not instance.replaced:
-            self._look(instance)
+    def note_broken(self, instance: Instance, fingerprint: RequestFingerprint | None) -> None:
+        """Record that a request lost its connection, and probe the upstream."""
+        if self._add_pending(instance, fingerprint, timed_out=False) and not instance.replaced:
+            self._start_probe(instance)
 
-    def note_silent(self, instance: Instance, name: RequestFingerprint | None) -> None:
-        """Take over that a request got no answer in its time, on a connection that still stood."""
-        if self._keep(instance, name, silent=True) and instance.gone:
-            self._look(instance)
+    def note_timeout(self, instance: Instance, fingerprint: RequestFingerprint | None) -> None:
+        """Record that a request timed out on a connection that stayed open."""
+        if self._add_pending(instance, fingerprint, timed_out=True) and instance.gone:
+            self._start_probe(instance)
 
-    async def finish_looks(self) -> None:
-        """Wait until the looks that are under way have told what they can, some time at most."""
-        if self._looks:
-            await asyncio.wait(list(self._looks.values()), timeout=LOOK_SECONDS)
+    async def wait_for_probes(self) -> None:
+        """Wait for the probes in progress, for PROBE_TIMEOUT_SECONDS at most."""
+        if self._probes:
+            await asyncio.wait(list(self._probes.values()), timeout=PROBE_TIMEOUT_SECONDS)
 
-    def note_withdrawn(self, instance: Instance) -> None:
-        """Take over that the list does not name an upstream any more."""
-        if instance.name in self._unsettled:
-            self._look(instance)
+    def note_unlisted(self, instance: Instance) -> None:
+        """Probe an upstream that the discovery list no longer contains."""
+        if instance.name in self._pending:
+            self._start_probe(instance)
 
     def note_replaced(self, instance: Instance) -> None:
-        """Take over that a later start has taken an upstream's place."""
+        """Report a crash of an upstream that was restarted."""
         if not instance.record.leaving:
-            self._settle(instance, "its next start", next_start=True)
+            self._report_crash(instance, "its next start", restarted=True)
 
-    def _keep(self, instance: Instance, name: RequestFingerprint | None, *, silent: bool) -> bool:
-        if name is None or instance.record.leaving:
-            # An upstream that leaves ends by plan, and may cut what is still open.
+    def _add_pending(
+        self, instance: Instance, fingerprint: RequestFingerprint | None, *, timed_out: bool
+    ) -> bool:
+        if fingerprint is None or instance.record.leaving:
+            # A draining upstream stops as planned, and may cut open requests.
             return False
         now = _now()
-        if len(self._unsettled) >= MOST_UPSTREAMS:
-            self._drop_old(now)
-        kept = [item for item in self._unsettled[instance.name] if _is_fresh(item, now)]
-        kept.append(_Unsettled(name, now, silent))
-        self._unsettled[instance.name] = kept[-MOST_UNSETTLED:]
+        if len(self._pending) >= MAX_UPSTREAMS_BEFORE_CLEANUP:
+            self._drop_expired(now)
+        pending = [item for item in self._pending[instance.name] if _is_recent(item, now)]
+        pending.append(_PendingFailure(fingerprint, now, timed_out))
+        self._pending[instance.name] = pending[-MAX_PENDING_PER_UPSTREAM:]
         return True
 
-    def _drop_old(self, now: float) -> None:
-        for name, items in list(self._unsettled.items()):
-            if not any(_is_fresh(item, now) for item in items):
-                del self._unsettled[name]
+    def _drop_expired(self, now: float) -> None:
+        for instance_name, items in list(self._pending.items()):
+            if not any(_is_recent(item, now) for item in items):
+                del self._pending[instance_name]
 
-    def _look(self, instance: Instance) -> None:
-        """Try the upstream's address, once at a time for all that broke off there."""
-        if instance.name in self._looks:
+    def _start_probe(self, instance: Instance) -> None:
+        """Probe the upstream's address, unless a probe is in progress."""
+        if instance.name in self._probes:
             return
-        task = asyncio.ensure_future(self._try_address(instance))
-        self._looks[instance.name] = task
-        task.add_done_callback(lambda _: self._looks.pop(instance.name, None))
+        task = asyncio.ensure_future(self._probe(instance))
+        self._probes[instance.name] = task
+        task.add_done_callback(lambda _: self._probes.pop(instance.name, None))
 
-    async def _try_address(self, instance: Instance) -> None:
+    async def _probe(self, instance: Instance) -> None:
         await asyncio.sleep(LOOK_DELAY_SECONDS)
-        began = _now()
+        started_at = _now()
         try:
             await self._pool.probe(instance.name, instance.record.address)
         except UpstreamUnreachedError as error:
-            # A silent address alone may be a cut link; with the list's word it is a crash.
+            # A timeout alone may be a network fault; it is a crash if the list agrees.
             if (error.refused or instance.gone) and not instance.record.leaving:
-                self._settle(instance, "its address", silent_too=instance.gone)
+                self._report_crash(instance, "its address", include_timeouts=instance.gone)
             return
-        self._note_alive(instance, began)
+        self._record_alive(instance, started_at)
 
-    def _note_alive(self, instance: Instance, at: float) -> None:
-        """Hold what broke off before a look that found the address open against no request yet.
+    def _record_alive(self, instance: Instance, at: float) -> None:
+        """Mark the failures before a successful probe as `port_open`.
 
-        It was no crash, unless a later start shows soon.
+        They count as open at a crash only if the upstream turns out to have been restarted.
         """
-        kept = self._unsettled.pop(instance.name, [])
-        if kept:
-            self._unsettled[instance.name] = [
-                item if item.silent or item.at > at else replace(item, doubtful=True)
-                for item in kept
+        pending = self._pending.pop(instance.name, [])
+        if pending:
+            self._pending[instance.name] = [
+                item if item.timed_out or item.at > at else replace(item, port_open=True)
+                for item in pending
             ]
         if instance.gone:
-            # Whoever listens there now, no request goes there under this name.
+            # No more requests are sent to this instance, whatever listens there now.
             self._pool.forget(instance.name)
 
-    def _settle(
+    def _report_crash(
         self,
         instance: Instance,
         source: str,
         *,
-        silent_too: bool = False,
-        next_start: bool = False,
+        include_timeouts: bool = False,
+        restarted: bool = False,
     ) -> None:
-        """Tell of a crash and of the requests that were open there."""
+        """Report a crash with the requests that were open there, if any."""
         now = _now()
-        kept = self._unsettled.pop(instance.name, [])
-        open_then = [
+        pending = self._pending.pop(instance.name, [])
+        open_requests = [
             item
-            for item in kept
-            if _is_fresh(item, now)
-            and (next_start or silent_too or not item.silent)
-            and (not item.doubtful or (next_start and now - item.at < DOUBTFUL_SECONDS))
+            for item in pending
+            if _is_recent(item, now)
+            and (restarted or include_timeouts or not item.timed_out)
+            and (not item.port_open or (restarted and now - item.at < OPEN_PORT_PENDING_SECONDS))
         ]
-        names = list({item.name: None for item in open_then})
-        if not names:
+        fingerprints = list({item.fingerprint: None for item in open_requests})
+        if not fingerprints:
             return
         log_event(
             "upstream crashed",
             instance=instance.name,
             source=source,
-            count=len(names),
-            open=[str(name) for name in names[:MOST_SHOWN]],
+            count=len(fingerprints),
+            open=[str(fingerprint) for fingerprint in fingerprints[:MAX_LOGGED_FINGERPRINTS]],
         )
-        self._on_crash(instance, names)
+        self._on_crash(instance, fingerprints)
 
 
-def _is_fresh(item: _Unsettled, now: float) -> bool:
-    return now - item.at < UNSETTLED_SECONDS
+def _is_recent(item: _PendingFailure, now: float) -> bool:
+    return now - item.at < PENDING_SECONDS
 
 
 def _now() -> float:
--- /dev/null
+++ b/src/swifttrestle/internal/forward/engine_finder.py
@@ -0,0 +1,149 @@
+"""Chooses the engines for a request by their open work and caches, and books them."""
+
+import asyncio
+from dataclasses import replace
+
+from swifttrestle.internal.forward.gateway_state import GatewayState
+from swifttrestle.internal.policy.fetching import FetchPlan, list_sources, plan_fetch
+from swifttrestle.internal.policy.placement import pick_decode_engine, pick_prefill_engine
+from swifttrestle.internal.policy.scheduling import find_scheduling_group
+from swifttrestle.internal.state.bookings import Booking, BookingRequest
+from swifttrestle.internal.state.declared import Role
+from swifttrestle.internal.state.fleet import Instance, OpenWork
+
+# Share of the time to the deadline for which a request whose prefill failed may wait again: a late
+# answer serves its caller better than a late refusal.
+RETRY_WAIT_SHARE = 0.3
+# A decode engine prefills a prompt itself if that takes no longer than this, in seconds: less than
+# the round trip and the copy of the KV cache.
+MAX_DIRECT_PREFILL_SECONDS = 0.008
+# Longest wait at another zone's engine, as a share of that in the own zone: its load is known less
+# precisely, and its cache is less likely to have the shared parts.
+OTHER_ZONE_WAIT_SHARE = 0.5
+
+
+class EngineFinder:
+    """Chooses and books engines among those that a host knows."""
+
+    def __init__(self, state: GatewayState) -> None:
+        """Use the host's shared state."""
+        self._state = state
+
+    def find(self, request: BookingRequest, waited: float = 0.0) -> Booking | None:
+        """Book and return free engines, or None; the request has waited `waited` seconds."""
+        now = _now()
+        engines = self._state.list_usable(request.service, now, request.urgent)
+        decoder = self._pick_decode_engine(request, engines, request.zone)
+        if decoder is None:
+            return None
+        plan = self._make_fetch_plan(request, engines)
+        if not self._has_prefill_engines(request.service, engines, now) or is_short_prompt(
+            request.tokens, engines
+        ):
+            return self._book(decoder, decoder, request, plan)
+        longest_wait = max(0.0, request.longest_read_wait - waited)
+        if request.late:
+            longest_wait = (request.left - waited) * RETRY_WAIT_SHARE
+        request = replace(request, latest_read=request.latest_read - waited)
+        reader = self._pick_prefill_engine(request, engines, longest_wait, plan)
+        if reader is None:
+            return None
+        if reader.record.role is Role.DECODE:
+            return self._book(reader, reader, request, plan)
+        decoder = self._pick_decode_engine(request, engines, reader.record.zone)
+        return self._book(reader, decoder, request, plan) if decoder else None
+
+    def _has_prefill_engines(self, service: str, engines: list[Instance], now: float) -> bool:
+        """Return whether there are prefill engines.
+
+        Includes those that accept no requests at the moment, so that decode engines do not take
+        over all long prompts for that time.
+        """
+        cooling_down = (
+            item
+            for item in self._state.fleet.list_service(service)
+            if self._state.conditions.find_wait_seconds(item, now, urgent=True)
+        )
+        return any(item.role is Role.PREFILL for item in (*engines, *cooling_down))
+
+    def _pick_prefill_engine(
+        self,
+        request: BookingRequest,
+        engines: list[Instance],
+        longest_wait: float,
+        plan: FetchPlan,
+    ) -> Instance | None:
+        """Return a prefill engine of the request's group, or of another one with a short wait."""
+        group = find_scheduling_group(engines, request.zone)
+        own_group = [item for item in engines if group in ("", item.record.zone)]
+        other_zones = [item for item in engines if group not in ("", item.record.zone)]
+        for choice, limit in (
+            (own_group, longest_wait),
+            (other_zones, longest_wait * OTHER_ZONE_WAIT_SHARE),
+        ):
+            reader = pick_prefill_engine(
+                choice,
+                request.tokens,
+                request.affinity,
+                request.excluded,
+                _now(),
+                limit,
+                request.parts,
+                plan,
+                request.latest_read,
+            )
+            if reader is not None:
+                return reader
+        return None
+
+    def is_short(self, request: BookingRequest) -> bool:
+        """Return whether the prompt is short enough for a decode engine to prefill it itself."""
+        return is_short_prompt(request.tokens, self._state.fleet.list_service(request.service))
+
+    def _pick_decode_engine(
+        self, request: BookingRequest, engines: list[Instance], own_group: str
+    ) -> Instance | None:
+        return pick_decode_engine(
+            engines, own_group, request.excluded, _now(), urgent=request.urgent
+        )
+
+    def _book(
+        self, reader: Instance, decoder: Instance, request: BookingRequest, plan: FetchPlan
+    ) -> Booking:
+        wait = reader.predict_wait()
+        cached_tokens = reader.cache.count(request.parts)
+        fetch = plan(reader, cached_tokens)
+        tokens = max(0, request.tokens - cached_tokens - (fetch.tokens if fetch else 0))
+        uncached_parts = reader.cache.list_unread(request.parts)
+        self._state.note_prompt(reader, request.parts)
+        for engine in (reader, decoder):
+            self._state.ejector.note_use(engine.name, _now())
+        decoder.own = decoder.own.plus(OpenWork(0, 1))
+        reader.own = reader.own.plus(OpenWork(tokens, 0 if reader is decoder else 1))
+        return Booking(
+            reader,
+            decoder,
+            tokens,
+            reader.total.tokens,
+            wait,
+            parts=request.parts,
+            unread=uncached_parts,
+            source=fetch.source if fetch else None,
+            fetch_seconds=fetch.seconds if fetch else 0.0,
+        )
+
+    def _make_fetch_plan(self, request: BookingRequest, engines: list[Instance]) -> FetchPlan:
+        """Return a function that plans what an engine fetches from the caches of the others."""
+        sources = list_sources(engines, request.parts, request.excluded)
+        traits = self._state.fleet.traits.get(request.service)
+        return lambda reader, cached_tokens: plan_fetch(reader, cached_tokens, sources, traits)
+
+
+def is_short_prompt(tokens: int, engines: list[Instance]) -> bool:
+    """Return whether a decode engine prefills so many tokens as fast as handing them over."""
+    read_rates = [item.effective_read_rate for item in engines if item.role is Role.DECODE]
+    return bool(read_rates) and tokens / max(read_rates) <= MAX_DIRECT_PREFILL_SECONDS
+
+
+def _now() -> float:
+    return asyncio.get_running_loop().time()
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -1,4 +1,4 @@
-"""Requests to model engines: a place to make tokens first, then the prompt, then the stream."""
+"""Forwards requests to model engines: books engines, has the prompt prefilled, relays tokens."""
 
 import asyncio
 import math
@@ -14,21 +14,21 @@
 from swifttrestle.internal.forward.attempt import AttemptPlan, make_attempt
 from swifttrestle.internal.forward.booking import Booker
 from swifttrestle.internal.forward.context import Context
+from swifttrestle.internal.forward.engine_finder import RETRY_WAIT_SHARE, is_short_prompt
 from swifttrestle.internal.forward.events import EventRelay
-from swifttrestle.internal.forward.finding import LATE_WAIT_SHARE, reads_soon
 from swifttrestle.internal.forward.gateway_state import GatewayState
-from swifttrestle.internal.forward.reading import (
-    DirectReading,
-    PromptReader,
-    Use,
+from swifttrestle.internal.forward.prefill import (
+    DirectPrefill,
+    EngineUse,
+    PromptPrefiller,
     find_source_address,
 )
-from swifttrestle.internal.policy.placement import pick_decoder
+from swifttrestle.internal.policy.placement import pick_decode_engine
 from swifttrestle.internal.policy.waiting import (
-    LATE_SHARE,
+    IN_TIME_WAIT_SHARE,
+    LATE_WAIT_LIMIT_SHARE,
     PREFILL_DEADLINE_SHARE,
-    WAIT_SHARE,
-    find_patience,
+    find_caller_timeout,
 )
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity, Outcome, Stage
 from swifttrestle.internal.state.declared import Role
@@ -37,73 +37,74 @@
 from swifttrestle.platform.engine import KvHandle, format_kv_source
 from swifttrestle.platform.wire import ForwardingHeaders
 
-# Prompt readings of one request, the first included, and attempts to make its tokens.
-MOST_READS = 2
-MOST_DECODES = 3
-# Bookings of one request whose engines took nothing, each the word of another host: more mean that
-# the limits leave nothing for it.
-MOST_HELD = 8
-# Share of what is left that a repeatable request waits for its first token at one engine.
+# Maximum prefill and decode attempts of one request, the first ones included.
+MAX_PREFILLS = 2
+MAX_DECODE_ATTEMPTS = 3
+# Maximum bookings of one request whose engines then accepted no requests.
+MAX_HELD_BOOKINGS = 8
+# Share of the time to the deadline that a repeatable request waits at an engine for its first
+# token.
 FIRST_TOKEN_SHARE = 0.5
-# Bounds of the time to come back, in seconds.
-LEAST_RETRY_AFTER = 0.05
-# Seconds after which a caller may come back where no engine is listed: about one heartbeat.
-NO_ENGINE_RETRY_AFTER = 0.5
-MOST_RETRY_AFTER = 3.0
-# Callers wait as told up to a third of the time that they have left; a little less is asked.
-HONOURED_SHARE = 0.32
-# Share of the longest time to come back at which the first of the refused callers returns.
-SOONEST_RETURN = 0.6
+# Retry-After: its minimum, its value where no engine is listed (about one heartbeat), its maximum.
+MIN_RETRY_AFTER_SECONDS = 0.05
+NO_ENGINE_RETRY_AFTER_SECONDS = 0.5
+MAX_RETRY_AFTER_SECONDS = 3.0
+# Callers honour Retry-After up to a third of the time to their deadline; this stays below that.
+MAX_RETRY_AFTER_SHARE = 0.32
+# Lower end, as a share of the longest Retry-After, of the range that it is drawn from.
+MIN_RETRY_AFTER_FRACTION = 0.6
 
 
 class EngineForwarder:
     """Serves the requests of all model services."""
 
-    def __init__(self, parts: GatewayState, booker: Booker) -> None:
-        """Use the host's shared parts, and engines that `booker` finds."""
-        self._state = parts
+    def __init__(self, state: GatewayState, booker: Booker) -> None:
+        """Use the host's shared state, and engines that `booker` finds."""
+        self._state = state
         self._booker = booker
-        self._reader = PromptReader(parts, booker)
+        self._prefiller = PromptPrefiller(state, booker)
 
     async def serve(self, ctx: Context) -> None:
-        """Serve one request; raise RefusedError where it is given up on."""
+        """Serve one request; raise RefusedError if it cannot be served."""
         self._note_arrival(ctx, asyncio.get_running_loop().time())
-        relay = EventRelay(ctx.route.resumable, self._longest_pause(ctx))
-        reads = held = 0
-        while reads < MOST_READS and held < MOST_HELD:
-            booking = await self._book(ctx, first=reads == 0)
-            use = Use(asyncio.get_running_loop().time())
-            reading = DirectReading(booking, self._booker)
-            ctx.on_first_byte = reading.end
+        relay = EventRelay(ctx.route.resumable, self._max_event_gap(ctx))
+        prefills = held_bookings = 0
+        while prefills < MAX_PREFILLS and held_bookings < MAX_HELD_BOOKINGS:
+            booking = await self._book(ctx, first=prefills == 0)
+            use = EngineUse(asyncio.get_running_loop().time())
+            direct_prefill = DirectPrefill(booking, self._booker)
+            ctx.on_first_byte = direct_prefill.end
             try:
-                handle = await self._read(ctx, booking)
+                handle = await self._prefill(ctx, booking)
                 if handle is not None or booking.direct:
                     await self._decode(ctx, booking, use, handle, relay)
                     return
-                reads += 1
+                prefills += 1
             except UpstreamHeldError as error:
                 ctx.note(str(error))
-                held += 1
+                held_bookings += 1
             finally:
-                reading.cancel()
-                seconds = asyncio.get_running_loop().time() - use.began
+                direct_prefill.cancel()
+                seconds = asyncio.get_running_loop().time() - use.started_at
                 self._booker.end(booking, Stage.DECODE, use.outcome, seconds)
-        raise ctx.refuse(Code.NO_UPSTREAM, "no engine read the prompt", LEAST_RETRY_AFTER)
+        raise ctx.refuse(
+            Code.NO_UPSTREAM, "no engine prefilled the prompt", MIN_RETRY_AFTER_SECONDS
+        )
 
-    async def _read(self, ctx: Context, booking: Booking) -> KvHandle | None:
-        """Have the prompt read where another engine does so; raise UpstreamHeldError."""
+    async def _prefill(self, ctx: Context, booking: Booking) -> KvHandle | None:
+        """Have the prompt prefilled by another engine if one is booked; raise UpstreamHeldError."""
         if booking.direct:
             await self._state.permits.reserve(ctx, booking.decoder)
             return None
-        return await self._reader.read(ctx, booking)
+        return await self._prefiller.prefill(ctx, booking)
 
     # Booking.
 
     async def _book(self, ctx: Context, first: bool) -> Booking:
         latest_read = ctx.route.objective * PREFILL_DEADLINE_SHARE - ctx.age
-        longest = ctx.route.objective * WAIT_SHARE - ctx.age
+        longest_wait = ctx.route.objective * IN_TIME_WAIT_SHARE - ctx.age
         if not first:
-            longest = ctx.left * LATE_WAIT_SHARE
+            longest_wait = ctx.seconds_left * RETRY_WAIT_SHARE
         request = BookingRequest(
             service=ctx.service.name,
             zone=self._state.zone,
@@ -111,42 +112,45 @@
             affinity=find_affinity(ctx),
             priority=ctx.priority,
             urgent=ctx.urgent,
-            left=ctx.left,
-            longest_wait=max(0.0, min(longest, ctx.left)),
+            left=ctx.seconds_left,
+            longest_wait=max(0.0, min(longest_wait, ctx.seconds_left)),
             longest_read_wait=latest_read,
             latest_read=latest_read if first else math.inf,
-            late=ctx.lost_reads > 0,
+            late=ctx.failed_prefills > 0,
             excluded=frozenset(ctx.excluded),
-            parts=name_parts(ctx),
-            max_wait=min(ctx.left, find_patience(ctx.route) - ctx.age) * LATE_SHARE,
+            parts=qualify_parts(ctx),
+            max_wait=min(ctx.seconds_left, find_caller_timeout(ctx.route) - ctx.age)
+            * LATE_WAIT_LIMIT_SHARE,
         )
-        self._check_holds(ctx, request)
-        found = await self._booker.book(request)
-        if isinstance(found, NoCapacity):
-            raise self._refuse_for_load(ctx, found)
+        self._refuse_if_unavailable(ctx, request)
+        booked = await self._booker.book(request)
+        if isinstance(booked, NoCapacity):
+            raise self._refuse_for_load(ctx, booked)
         self._state.metrics.observe("gateway_queue_seconds", ctx.age)
-        if not found.direct:
-            self._state.demand.note_read(ctx.service.name, request.tokens, found.tokens)
+        if not booked.direct:
+            self._state.demand.note_read(ctx.service.name, request.tokens, booked.tokens)
         ctx.note(
-            f"reader {found.reader.name} wait={found.wait * 1000:.0f}ms unread={found.tokens} "
-            f"from {found.source.name if found.source else 'none'} "
-            f"decoder {found.decoder.name} open={found.decoder.total.requests} "
-            f"by {found.reference.host if found.reference else 'this host'}"
+            f"reader {booked.reader.name} wait={booked.wait * 1000:.0f}ms unread={booked.tokens} "
+            f"from {booked.source.name if booked.source else 'none'} "
+            f"decoder {booked.decoder.name} open={booked.decoder.total.requests} "
+            f"by {booked.reference.host if booked.reference else 'this host'}"
         )
-        return found
+        return booked
 
-    def _check_holds(self, ctx: Context, request: BookingRequest) -> None:
-        """Refuse a request at once that would wait in vain for engines that take nothing now."""
-        hold = self._find_hold(ctx)
-        if hold > max(request.longest_wait, request.max_wait):
-            reason = "the engines take nothing now by their own word"
-            raise ctx.refuse(Code.UPSTREAMS_HELD, reason, max(LEAST_RETRY_AFTER, hold))
+    def _refuse_if_unavailable(self, ctx: Context, request: BookingRequest) -> None:
+        """Refuse a request if engines accept none for longer than it may wait."""
+        wait_seconds = self._find_wait_seconds(ctx)
+        if wait_seconds > max(request.longest_wait, request.max_wait):
+            reason = f"the engines accept no requests for another {wait_seconds:.1f} s"
+            raise ctx.refuse(
+                Code.UPSTREAMS_HELD, reason, max(MIN_RETRY_AFTER_SECONDS, wait_seconds)
+            )
 
-    def _find_hold(self, ctx: Context) -> float:
-        """Return the seconds until engines of each role that it needs take a request."""
+    def _find_wait_seconds(self, ctx: Context) -> float:
+        """Return the seconds until engines of each role that the request needs accept one."""
         service, now = ctx.service.name, asyncio.get_running_loop().time()
         engines = self._state.fleet.list_service(service)
-        short = reads_soon(ctx.facts.prompt_tokens, engines)
+        short = is_short_prompt(ctx.facts.prompt_tokens, engines)
         roles = (Role.DECODE,) if short else (Role.DECODE, Role.PREFILL)
         return self._state.find_wait_seconds(service, now, roles, ctx.urgent)
 
@@ -154,60 +158,66 @@
         self._state.budgets.find(ctx.service.name).note_request(now)
         engines = self._state.fleet.list_service(ctx.service.name)
         tokens = ctx.facts.prompt_tokens
-        tokens = 0 if reads_soon(tokens, engines) else tokens
+        tokens = 0 if is_short_prompt(tokens, engines) else tokens
         self._state.demand.note_arrival(ctx.service.name, ctx.route.name, tokens, now)
 
-    def _refuse_for_load(self, ctx: Context, found: NoCapacity) -> RefusedError:
+    def _refuse_for_load(self, ctx: Context, no_room: NoCapacity) -> RefusedError:
         engines = self._state.fleet.list_service(ctx.service.name)
         if not engines:
-            return ctx.refuse(Code.NO_UPSTREAM, "no engine is listed", NO_ENGINE_RETRY_AFTER)
-        hold = self._find_hold(ctx)
-        retry = self._choose_retry_after(ctx, max(hold, found.next_free_seconds))
+            return ctx.refuse(
+                Code.NO_UPSTREAM,
+                f"service {ctx.service.name} has no engines",
+                NO_ENGINE_RETRY_AFTER_SECONDS,
+            )
+        wait_seconds = self._find_wait_seconds(ctx)
+        retry = self._choose_retry_after(ctx, max(wait_seconds, no_room.next_free_seconds))
         reason = (
-            f"no engine has room: {found.waiting} wait, {len(engines)} engines, "
-            f"soonest free in {found.next_free_seconds * 1000:.0f} ms"
+            f"no engine is free: {no_room.waiting} requests waiting, {len(engines)} engines, "
+            f"first engine free in {no_room.next_free_seconds * 1000:.0f} ms"
         )
-        return ctx.refuse(Code.UPSTREAMS_HELD if hold else Code.OVERLOADED, reason, retry)
+        return ctx.refuse(Code.UPSTREAMS_HELD if wait_seconds else Code.OVERLOADED, reason, retry)
 
     def _choose_retry_after(self, ctx: Context, next_free_seconds: float) -> float:
-        """Return when a caller that was refused for load is to come back, in seconds.
+        """Return Retry-After, in seconds, for a caller that was refused for load.
 
-        Engines that are full now stay so for as long as the swing lasts, so the later a caller
-        comes back the better it fares. Those that are refused together come back apart.
+        Load peaks last for some time, so this is close to the longest time that the caller honours,
+        with jitter so that callers do not return all at once.
         """
-        longest = min(HONOURED_SHARE * ctx.left, MOST_RETRY_AFTER)
-        spread = SOONEST_RETURN + (1 - SOONEST_RETURN) * self._state.rng.random()
-        return max(LEAST_RETRY_AFTER, next_free_seconds, longest * spread)
+        longest_wait = min(MAX_RETRY_AFTER_SHARE * ctx.seconds_left, MAX_RETRY_AFTER_SECONDS)
+        spread = (
+            MIN_RETRY_AFTER_FRACTION + (1 - MIN_RETRY_AFTER_FRACTION) * self._state.rng.random()
+        )
+        return max(MIN_RETRY_AFTER_SECONDS, next_free_seconds, longest_wait * spread)
 
-    # The tokens.
+    # Decode.
 
     async def _decode(
         self,
         ctx: Context,
         booking: Booking,
-        use: Use,
+        use: EngineUse,
         handle: KvHandle | None,
         relay: EventRelay,
     ) -> None:
         if booking.reader.replaced:
-            # What its former start kept is gone: the engine that makes the tokens reads all itself.
+            # The engine was restarted and lost its KV cache: the decode engine prefills the prompt.
             handle = None
         source = format_kv_source(booking.reader.record.address, handle) if handle else ""
         fetch_from = find_source_address(booking) if booking.direct else None
         try:
             decoder = self._confirm_decoder(ctx, booking.decoder)
-            number = 0
+            attempt = 0
             while True:
                 try:
-                    await self._try_decoder(ctx, decoder, source, relay, fetch_from)
+                    await self._attempt_decode(ctx, decoder, source, relay, fetch_from)
                     source = ""
                     if decoder is booking.decoder:
                         use.outcome = Outcome.DONE
                     return
                 except UpstreamHeldError as error:
-                    # Nothing was sent, so that the next engine is not paid for.
+                    # Nothing was sent, so the next engine does not count as a repeat.
                     ctx.note(str(error))
-                    decoder = self._pick_decoder(ctx, str(error), _now())
+                    decoder = self._pick_decode_engine(ctx, str(error), _now())
                     continue
                 except (UpstreamLeavingError, UpstreamBusyError, UpstreamBrokenError) as error:
                     outcome = self._state.note_failed_use(ctx, decoder, error)
@@ -216,54 +226,62 @@
                     reason = str(error)
                     if isinstance(error, UpstreamBrokenError):
                         ctx.runs += 1
-                        # The handle was taken by the run that broke.
+                        # The failed attempt has consumed the handle.
                         if error.sent:
-                            self._reader.free(booking.reader, handle)
+                            self._prefiller.free(booking.reader, handle)
                             source, handle = "", None
                 ctx.note(f"decoder {decoder.name} failed: {reason}")
                 ctx.excluded.add(decoder.name)
-                decoder = self._next_decoder(ctx, relay, reason, number)
-                number += 1
+                decoder = self._replace_decoder(ctx, relay, reason, attempt)
+                attempt += 1
         finally:
             if source:
-                self._reader.free(booking.reader, handle)
+                self._prefiller.free(booking.reader, handle)
 
     def _confirm_decoder(self, ctx: Context, decoder: Instance) -> Instance:
-        """Return the booked engine, or another one where it takes no new work any more.
+        """Return the booked engine, or another one if it no longer accepts requests.
 
-        It was chosen before the prompt was read, which may take seconds.
+        It was chosen before the prefill, which may take seconds.
         """
         now = asyncio.get_running_loop().time()
         if decoder.takes_work(Role.DECODE, now):
             return decoder
-        ctx.note(f"decoder {decoder.name} leaves or changes")
+        ctx.note(f"decoder {decoder.name} is draining or changing its role")
         ctx.excluded.add(decoder.name)
-        return self._pick_decoder(ctx, "the engine that was to make the tokens leaves", now)
+        return self._pick_decode_engine(
+            ctx, f"decode engine {decoder.name} is no longer available", now
+        )
 
-    def _pick_decoder(self, ctx: Context, reason: str, now: float) -> Instance:
-        """Return an engine to make the tokens; raise RefusedError where there is none."""
+    def _pick_decode_engine(self, ctx: Context, reason: str, now: float) -> Instance:
+        """Return a decode engine; raise RefusedError if there is none."""
         engines = self._state.list_usable(ctx.service.name, now, ctx.urgent)
-        decoder = pick_decoder(engines, self._state.zone, ctx.excluded, now, urgent=ctx.urgent)
+        decoder = pick_decode_engine(
+            engines, self._state.zone, ctx.excluded, now, urgent=ctx.urgent
+        )
         if decoder is None:
-            hold = self._state.find_wait_seconds(ctx.service.name, now, (Role.DECODE,), ctx.urgent)
-            code = Code.UPSTREAMS_HELD if hold else Code.UPSTREAM_REFUSED
-            raise ctx.refuse(code, reason, max(LEAST_RETRY_AFTER, hold))
+            wait_seconds = self._state.find_wait_seconds(
+                ctx.service.name, now, (Role.DECODE,), ctx.urgent
+            )
+            code = Code.UPSTREAMS_HELD if wait_seconds else Code.UPSTREAM_REFUSED
+            raise ctx.refuse(code, reason, max(MIN_RETRY_AFTER_SECONDS, wait_seconds))
         return decoder
 
-    def _next_decoder(self, ctx: Context, relay: EventRelay, reason: str, number: int) -> Instance:
-        """Return another engine for the same answer; raise RefusedError where none may run."""
+    def _replace_decoder(
+        self, ctx: Context, relay: EventRelay, reason: str, attempt: int
+    ) -> Instance:
+        """Return another engine to continue the answer; raise RefusedError if none may."""
         now = asyncio.get_running_loop().time()
-        allowed = number + 1 < MOST_DECODES and ctx.runs < ctx.route.max_attempts
+        allowed = attempt + 1 < MAX_DECODE_ATTEMPTS and ctx.runs < ctx.route.max_attempts
         allowed = allowed and (ctx.repeatable or not ctx.may_have_run)
         if not allowed:
-            raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, LEAST_RETRY_AFTER)
-        decoder = self._pick_decoder(ctx, reason, now)
+            raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, MIN_RETRY_AFTER_SECONDS)
+        decoder = self._pick_decode_engine(ctx, reason, now)
         if not self._state.budgets.find(ctx.service.name).take(now):
-            raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, LEAST_RETRY_AFTER)
+            raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, MIN_RETRY_AFTER_SECONDS)
         ctx.note(f"decoder {decoder.name} after event {relay.last_event!r}")
         return decoder
 
-    async def _try_decoder(
+    async def _attempt_decode(
         self,
         ctx: Context,
         decoder: Instance,
@@ -271,28 +289,28 @@
         relay: EventRelay,
         fetch_from: tuple[str, int] | None,
     ) -> None:
-        max_wait = ctx.left
+        head_timeout = ctx.seconds_left
         if ctx.repeatable and ctx.runs + 1 < ctx.route.max_attempts:
-            max_wait *= FIRST_TOKEN_SHARE
-        added = ForwardingHeaders(
+            head_timeout *= FIRST_TOKEN_SHARE
+        forwarding = ForwardingHeaders(
             decoder.record.instance,
-            ctx.left,
+            ctx.seconds_left,
             ctx.priority,
             kv_source=source,
             last_event=relay.last_event,
             fetch_from=fetch_from,
         )
-        began = asyncio.get_running_loop().time()
-        plan = AttemptPlan(decoder, added, max_wait)
+        started_at = asyncio.get_running_loop().time()
+        plan = AttemptPlan(decoder, forwarding, head_timeout)
         async with self._state.attempt(ctx, decoder):
             await make_attempt(ctx, self._state.pool, plan, relay)
         now = asyncio.get_running_loop().time()
-        self._state.demand.note_hold(ctx.route.name, now - began)
+        self._state.demand.note_hold(ctx.route.name, now - started_at)
         self._state.ejector.note_success(decoder.name, now)
 
-    def _longest_pause(self, ctx: Context) -> float:
-        # Callers give a stream up after two seconds or four objectives; half of that leaves
-        # time to go on elsewhere.
+    def _max_event_gap(self, ctx: Context) -> float:
+        # Callers abandon a stream after two seconds or four objectives; half of that leaves time to
+        # resume it elsewhere.
         return max(1.0, 2 * ctx.route.objective, 4 * ctx.route.gap_objective)
 
 
@@ -300,14 +318,14 @@
     return asyncio.get_running_loop().time()
 
 
-def name_parts(ctx: Context) -> tuple[PromptPart, ...]:
-    """Return the prompt's parts under names that other models' parts do not have."""
+def qualify_parts(ctx: Context) -> tuple[PromptPart, ...]:
+    """Return the prompt's parts with names that are unique among models."""
     facts = ctx.facts
     return tuple(PromptPart(f"{facts.model}/{item.part}", item.tokens) for item in facts.parts)
 
 
 def find_affinity(ctx: Context) -> str:
-    """Return the id of the last part that other requests share, or of the whole request."""
+    """Return the id of the last shared part of the prompt, or of the request if there is none."""
     parts = ctx.facts.parts
     if len(parts) >= 2:
         return parts[-2].part
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -1,4 +1,4 @@
-"""What the forwarders share: the fleet, the connections, the budget and the ejector."""
+"""The state that all request forwarders of a host share."""
 
 import asyncio
 import contextlib
@@ -18,11 +18,11 @@
 from swifttrestle.internal.forward.conditions import UpstreamConditionTable
 from swifttrestle.internal.forward.context import Context
 from swifttrestle.internal.forward.crash_guard import CrashGuard
-from swifttrestle.internal.forward.rate_limiter import NoLimits, PermitSource
+from swifttrestle.internal.forward.rate_limiter import NoRateLimits, RateLimiter
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.ejection import (
+    CONNECT_TIMEOUT_WEIGHT,
     REFUSED_CONNECTION_WEIGHT,
-    SILENT_CONNECTION_WEIGHT,
     Ejector,
 )
 from swifttrestle.internal.policy.quarantine import Quarantine
@@ -34,22 +34,21 @@
 from swifttrestle.internal.state.prompt_cache import PromptPart, SentPrompt
 from swifttrestle.internal.transport.pool import ConnectionPool
 
-# Seconds for which an instance that refused gets no more work where others can take it.
-REFUSED_SECONDS = 0.25
-# Share of a service's instances that may be left out as broken at once.
-EJECTION_CAP = 0.5
-# Seconds over which a broken instance comes back to its full share.
-RETURN_SECONDS = 2.0
-# Seconds for which what a start sent before its end may still arrive: some round trips, and what
-# waits on a thin link.
-LAST_BYTES_SECONDS = 0.25
-# Prompts that may wait to be told of; older ones are of no use to peers any more.
-MOST_UNTOLD_PROMPTS = 64
+# Seconds for which an instance that refused a request is avoided.
+REFUSAL_BACKOFF_SECONDS = 0.25
+# Share of a service's instances that may be ejected at once.
+MAX_EJECTED_SHARE = 0.5
+# Seconds over which an instance ramps up after its ejection.
+RAMP_UP_SECONDS = 2.0
+# Seconds for which data that an instance sent before its end may still arrive.
+LATE_DATA_SECONDS = 0.25
+# Prompts that wait to be reported to peers; older ones are dropped.
+MAX_UNREPORTED_PROMPTS = 64
 
 
 @dataclass
 class RetryBudgets:
-    """One budget for each service."""
+    """The retry budgets of all services."""
 
     share: float
     extra: float
@@ -58,13 +57,13 @@
     _services: dict[str, WindowedRetryBudget] = field(default_factory=dict)
 
     def change(self, share: float, extra: float, window: float) -> None:
-        """Put other bounds in force; what was counted under the same ones stays."""
+        """Apply new limits; keeps the counts if they are unchanged."""
         if (share, extra, window) != (self.share, self.extra, self.window):
             self.share, self.extra, self.window = share, extra, window
             self._services.clear()
 
     def find(self, service: str) -> WindowedRetryBudget:
-        """Return a service's budget."""
+        """Return the budget of a service."""
         budget = self._services.get(service)
         if budget is None:
             budget = WindowedRetryBudget(self.share, self.extra, self.window)
@@ -74,12 +73,12 @@
 
 
 class GatewayState:
-    """The shared state of one host's request path; used from the event loop alone."""
+    """The shared state of one host's request path; used only from the event loop."""
 
     def __init__(
         self, zone: str, fleet: Fleet, budgets: RetryBudgets, metrics: Metrics, rng: random.Random
     ) -> None:
-        """Put the parts together."""
+        """Create the state for a host in `zone`."""
         self.zone = zone
         self.fleet = fleet
         self.pool = ConnectionPool()
@@ -87,38 +86,37 @@
         self.metrics = metrics
         self.rng = rng
         self.demand = DemandMeter()
-        # Prompts that peers have not been told of yet.
-        self.sent_prompts: deque[SentPrompt] = deque(maxlen=MOST_UNTOLD_PROMPTS)
-        self.ejector = Ejector(EJECTION_CAP, RETURN_SECONDS)
+        # Prompts that have not been reported to peers yet.
+        self.sent_prompts: deque[SentPrompt] = deque(maxlen=MAX_UNREPORTED_PROMPTS)
+        self.ejector = Ejector(MAX_EJECTED_SHARE, RAMP_UP_SECONDS)
         self.guard = CrashGuard(self.pool, Quarantine(rng.random()), metrics)
-        self.crashes = self.guard.watch
+        self.crash_detector = self.guard.detector
         self.guard.is_last = self._is_last
         self.conditions = UpstreamConditionTable(fleet, metrics)
         self.pool.on_answer = self.conditions.record_answer
-        self.permits: PermitSource = NoLimits()
-        fleet.on_replaced = self._end_start
-        fleet.on_removed = self.crashes.note_withdrawn
+        self.permits: RateLimiter = NoRateLimits()
+        fleet.on_replaced = self._end_incarnation
+        fleet.on_removed = self.crash_detector.note_unlisted
 
     @contextlib.asynccontextmanager
     async def attempt(
-        self, ctx: Context, instance: Instance, *, acquits: bool = True
+        self, ctx: Context, instance: Instance, *, is_final_answer: bool = True
     ) -> AsyncIterator[None]:
-        """Send a request to an upstream, for a prompt's reading too; all go through here.
+        """Surround each request that is sent to an upstream, prefill included.
 
-        Raises RefusedError where the request is kept from upstreams, and UpstreamHeldError where
-        this one takes nothing now. Where it `acquits`, its end without an error means that the
-        request got its own answer.
+        Raises RefusedError for a quarantined request, and UpstreamHeldError where the upstream
+        accepts no requests at the moment. `is_final_answer` tells whether an attempt that ends
+        without an error answers the request.
         """
-        async with self.guard.attempt(ctx, instance, acquits=acquits):
+        async with self.guard.attempt(ctx, instance, is_final_answer=is_final_answer):
             await self.permits.use(ctx, instance)
             self.conditions.note_sent(instance)
             yield
 
     def list_usable(self, service: str, now: float, urgent: bool = False) -> list[Instance]:
-        """Return a service's instances that are neither leaving nor left out as broken.
+        """Return a service's instances that accept requests and are not ejected.
 
-        Where all are left out as broken they are tried all the same; those that take nothing now by
-        their own word are not.
+        If all that accept requests are ejected, returns them all the same.
         """
         listed = [
             item
@@ -129,9 +127,9 @@
         return usable or listed
 
     def _is_last(self, instance: Instance, crashed: Collection[str]) -> bool:
-        """Return whether no other instance could take this one's work now.
+        """Return whether no other instance could take over for this one.
 
-        Starts that have `crashed` could not, though this host may not have found that out itself.
+        Instances in `crashed` count as unavailable.
         """
         now = asyncio.get_running_loop().time()
         listed = self.fleet.list_service(instance.record.service)
@@ -147,10 +145,10 @@
     def find_wait_seconds(
         self, service: str, now: float, roles: Collection[Role], urgent: bool
     ) -> float:
-        """Return the seconds until an instance of each role takes a request; 0 where some do."""
+        """Return the seconds until instances of all these roles accept requests; 0 for now."""
         listed = self.fleet.list_service(service)
         return max(
-            self.conditions.find_shortest_hold(
+            self.conditions.find_shortest_wait(
                 [item for item in listed if item.role is role], now, urgent
             )
             for role in roles
@@ -159,47 +157,47 @@
     def note_prompt(
         self, engine: Instance, parts: tuple[PromptPart, ...], read: bool = False
     ) -> None:
-        """Take an engine as keeping a prompt's parts, and have peers told of it."""
+        """Record that an engine caches a prompt's parts, and report it to peers."""
         if parts:
             prompt = SentPrompt(engine.name, parts, read)
             self.fleet.note_prompt(prompt)
             self.sent_prompts.append(prompt)
 
     def note_refusal(self, instance: Instance, now: float) -> None:
-        """Leave an instance alone for a moment."""
-        instance.refused_until = now + REFUSED_SECONDS
+        """Avoid an instance for a moment after a refusal."""
+        instance.refused_until = now + REFUSAL_BACKOFF_SECONDS
 
-    def note_gone(self, instance: Instance) -> None:
-        """Drop an instance that another one has replaced at its address."""
+    def remove_replaced(self, instance: Instance) -> None:
+        """Remove an instance that another one has replaced at its address."""
         if instance.leaving:
-            # The list says so already; what is open there goes on.
+            # Known already; its open requests continue.
             return
         if self.fleet.instances.get(instance.name) is instance:
             self.fleet.remove(instance.record.instance)
         self.pool.forget(instance.name)
         log_event("instance replaced", instance=instance.name, source="its address")
 
-    def _end_start(self, former: Instance) -> None:
-        """End what is open at a start that a later one has replaced.
+    def _end_incarnation(self, former: Instance) -> None:
+        """End the open requests of an instance that was restarted.
 
-        A host that lost power says nothing: without this a request there waits for its deadline.
+        After a power loss no connection is closed, so they would wait for their deadlines.
         """
         log_event("instance started anew", former=former.name)
         loop = asyncio.get_running_loop()
-        loop.call_later(LAST_BYTES_SECONDS, self._break_off, former)
+        loop.call_later(LATE_DATA_SECONDS, self._close_connections, former)
 
-    def _break_off(self, former: Instance) -> None:
+    def _close_connections(self, former: Instance) -> None:
         self.pool.abort_all(former.name)
-        # The requests that this breaks off notice it in the loop's next turns.
+        # The requests notice their lost connections only in later iterations of the loop.
         loop = asyncio.get_running_loop()
-        loop.call_later(LAST_BYTES_SECONDS, self.crashes.note_replaced, former)
+        loop.call_later(LATE_DATA_SECONDS, self.crash_detector.note_replaced, former)
 
     def note_failed_use(self, ctx: Context, engine: Instance, error: UpstreamError) -> Outcome:
-        """Remember an engine's failure; return it as an outcome of its use."""
+        """Record an engine's failure; return it as the outcome of its booking."""
         now = asyncio.get_running_loop().time()
         match error:
             case UpstreamLeavingError():
-                self.note_gone(engine)
+                self.remove_replaced(engine)
                 return Outcome.GONE
             case UpstreamBusyError():
                 self.note_refusal(engine, now)
@@ -210,28 +208,28 @@
     def note_broken(
         self, ctx: Context, instance: Instance, now: float, error: UpstreamError
     ) -> None:
-        """Count a failure; the instance may be left out from now on.
+        """Record a failure, which may eject the instance.
 
-        Where the caller broke its own request off, the instance is not to blame.
+        Ignores failures of requests that the caller itself broke off.
         """
         if ctx.request.body.broken:
             return
         match error:
             case UpstreamSilentError():
-                self.crashes.note_silent(instance, ctx.name)
+                self.crash_detector.note_timeout(instance, ctx.fingerprint)
             case UpstreamError(sent=True):
-                self.crashes.note_broken(instance, ctx.name)
-        self.note_failure(instance, now, str(error), weigh_failure(error))
+                self.crash_detector.note_broken(instance, ctx.fingerprint)
+        self.note_failure(instance, now, str(error), get_failure_weight(error))
 
     def note_failure(self, instance: Instance, now: float, reason: str, weight: int = 1) -> None:
-        """Count a failure of an instance; it may be left out from now on."""
+        """Record a failure of an instance, which may eject it."""
         group = [item.name for item in self.fleet.list_service(instance.record.service)]
         if self.ejector.note_failure(instance.name, group, now, weight):
             log_event("instance left out", instance=instance.name, reason=reason)
 
 
-def weigh_failure(error: UpstreamError) -> int:
-    """Return how much a failure speaks for an upstream's being down."""
+def get_failure_weight(error: UpstreamError) -> int:
+    """Return the number of failures that an error counts for in ejection."""
     if not isinstance(error, UpstreamUnreachedError):
         return 1
-    return REFUSED_CONNECTION_WEIGHT if error.refused else SILENT_CONNECTION_WEIGHT
+    return REFUSED_CONNECTION_WEIGHT if error.refused else CONNECT_TIMEOUT_WEIGHT
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -1,4 +1,4 @@
-"""Answers each caller's request: its route, its forwarder, its final answer, its log line."""
+"""Handles callers' requests: routing, forwarding, errors and the request log."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -31,23 +31,21 @@
     write_request_id,
 )
 
-# Seconds after which a caller may come back to a host that knows no configuration yet.
+# Retry-After, in seconds, of a host without a configuration, and of a stopping one.
 UNCONFIGURED_RETRY_SECONDS = 0.5
-# Seconds after which a caller that a stopping host refused may come back, to another host.
 STOPPING_RETRY_SECONDS = 0.05
-# Age in seconds that the log shows for a discovery list that was never confirmed.
-LONGEST_AGE = 9999.0
-# Seconds before the deadline at which a request is given up, so that its final answer is
-# there in time.
+# Age that the log shows for a discovery list that was never confirmed.
+MAX_LOGGED_AGE_SECONDS = 9999.0
+# Seconds before the deadline at which a request is cancelled, so that the error arrives in time.
 ANSWER_MARGIN_SECONDS = 0.01
 
 
 class GatewayHandler(RequestHandler):
-    """Routes requests by the configuration in force."""
+    """Serves requests by the configuration in force."""
 
     def __init__(
         self,
-        parts: GatewayState,
+        state: GatewayState,
         booker: Booker,
         find_table: Callable[[], RouteTable | None],
         find_confirmed_at: Callable[[], float] = lambda: float("-inf"),
@@ -56,19 +54,18 @@
     ) -> None:
         """Book engines by `booker`; read the route table in force by `find_table`.
 
-        `find_confirmed_at` tells when that table was last proved to be of the newest version, and
-        `revocation_bound` for how many seconds after its removal a key may be served.
-        `count_request`
-        is called with the workspace of each request that begins to run.
+        `find_confirmed_at` returns when that table was last confirmed to be the newest version, and
+        `revocation_bound` is for how many seconds after its removal a key may be accepted.
+        `count_request` is called with the workspace of each request when its answer begins.
         """
-        self._state = parts
+        self._state = state
         self._find_table = find_table
         self._find_confirmed_at = find_confirmed_at
         self._revocation_bound = revocation_bound
         self._count_request = count_request
-        self._plain = PlainForwarder(parts)
-        self._engines = EngineForwarder(parts, booker)
-        # The loop's time at which this process ends, once a planned stop has come so far.
+        self._plain = PlainForwarder(state)
+        self._engines = EngineForwarder(state, booker)
+        # The loop's time at which this process stops; None until a planned stop sets it.
         self.stops_at: float | None = None
 
     def limits(self) -> Limits:
@@ -82,7 +79,7 @@
         ctx: Context | None = None
         code = Code.OK
         try:
-            ctx = self._open(request, reply)
+            ctx = self._make_context(request, reply)
             await self._serve(ctx)
             outcome = "answered"
         except RefusedError as error:
@@ -95,24 +92,28 @@
             await self._answer_refusal(request, reply, RefusedError(Code.ANSWER_LOST, str(error)))
         except asyncio.CancelledError:
             code = CallerGoneError.code
-            outcome = "the caller left"
+            outcome = "the caller disconnected"
             raise
         finally:
             self._log(request, ctx, code, outcome)
 
-    def _open(self, request: IncomingRequest, reply: ResponseWriter) -> Context:
+    def _make_context(self, request: IncomingRequest, reply: ResponseWriter) -> Context:
         table = self._find_table()
         if table is None:
             raise RefusedError(
-                Code.NOT_CONFIGURED, "no configuration is known yet", UNCONFIGURED_RETRY_SECONDS
+                Code.NOT_CONFIGURED,
+                "this host has no configuration yet",
+                UNCONFIGURED_RETRY_SECONDS,
             )
         route = self._find_route(table, request.head)
-        self._check_time_to_end(route, request.received)
+        self._check_time_to_stop(route, request.received)
         workspace = self._find_workspace(table, route, request)
         facts = read_request_metadata(request.head.headers)
         service = table.configuration.services.get(pick_service(route, self._state.rng))
         if service is None:
-            raise RefusedError(Code.UNKNOWN_SERVICE, f"route {route.name} has no service")
+            raise RefusedError(
+                Code.UNKNOWN_SERVICE, f"route {route.name} names no declared service"
+            )
         seconds = route.timeout if facts.patience is None else min(facts.patience, route.timeout)
         return Context(
             request,
@@ -131,18 +132,18 @@
     def _find_workspace(
         self, table: RouteTable, route: Route, request: IncomingRequest
     ) -> Workspace | None:
-        """Return whose key a request carries; None where it needs none and has none.
+        """Return the workspace of a request's key; None where it needs none and has none.
 
-        Raises RefusedError for a key that is not in force, or that nobody has confirmed of late.
-        The age counts to the request's receipt: it was sent before that, and however long it
-        waits here, a later removal of its key does not concern it.
+        Raises RefusedError for an unknown key, or where the configuration was not confirmed
+        recently. Its age is measured at the request's receipt, since a later removal of the key
+        does not affect the request.
         """
         if table.keys is None:
             return None
         keys = find_keys(request.head.headers)
         if route.public and not keys:
             return None
-        # Two keys would leave open whose request it is.
+        # With several keys the workspace would be ambiguous.
         workspace = table.keys.find(keys[0]) if len(keys) == 1 else None
         age = request.received - self._find_confirmed_at()
         self._state.metrics.observe("gateway_key_belief_seconds", max(0.0, age))
@@ -151,10 +152,10 @@
             return workspace
         self._state.metrics.count("gateway_keys_refused_total", reason=verdict.value)
         if verdict is Verdict.UNKNOWN:
-            raise RefusedError(Code.UNKNOWN_KEY, "the key belongs to no workspace")
+            raise RefusedError(Code.UNKNOWN_KEY, "the API key belongs to no workspace")
         raise RefusedError(
             Code.KEY_UNCONFIRMED,
-            "this host has not heard of late which keys hold",
+            "this host has not confirmed its API keys recently; retry at another host",
             CONFIRM_RETRY_SECONDS,
         )
 
@@ -162,38 +163,40 @@
     def _write_headers(
         table: RouteTable, head: RequestHead, workspace: Workspace | None
     ) -> list[Header]:
-        """Return the headers that go on: without a key, and with the workspace's name."""
+        """Return the headers to forward: without the key, and with the workspace's name."""
         stripped = strip_request_headers(head.headers)
         if table.keys is None:
             return stripped
         return set_workspace_header(stripped, workspace.name if workspace else None)
 
-    def _check_time_to_end(self, route: Route, now: float) -> None:
-        """Refuse what may outlast this process: another host can answer it whole."""
+    def _check_time_to_stop(self, route: Route, now: float) -> None:
+        """Refuse a request that may outlast this process."""
         if self.stops_at is not None and now + route.timeout > self.stops_at:
-            raise RefusedError(Code.STOPPING, "this host is stopping", STOPPING_RETRY_SECONDS)
+            raise RefusedError(
+                Code.STOPPING, "this host is stopping; retry at another one", STOPPING_RETRY_SECONDS
+            )
 
     def _find_route(self, table: RouteTable, head: RequestHead) -> Route:
         host = head.find(b"host").decode("latin-1")
         path = head.target.partition(b"?")[0].decode("latin-1")
         route = table.find(host, path)
         if route is None:
-            raise RefusedError(Code.UNKNOWN_SERVICE, "no route has this host and path")
+            raise RefusedError(Code.UNKNOWN_SERVICE, "no route matches the host and path")
         return route
 
     async def _serve(self, ctx: Context) -> None:
         forwarder = self._engines if ctx.service.engine else self._plain
         try:
-            async with asyncio.timeout(max(0.0, ctx.left - ANSWER_MARGIN_SECONDS)):
+            async with asyncio.timeout(max(0.0, ctx.seconds_left - ANSWER_MARGIN_SECONDS)):
                 await self._state.guard.check(ctx)
                 await forwarder.serve(ctx)
         except TimeoutError:
             ctx.note("deadline")
-            if ctx.open_to_the_end is not None:
-                self._state.crashes.note_silent(ctx.open_to_the_end, ctx.name)
+            if ctx.cancelled_instance is not None:
+                self._state.crash_detector.note_timeout(ctx.cancelled_instance, ctx.fingerprint)
             if ctx.may_have_run:
-                raise RefusedError(Code.ANSWER_LATE, "the time is over") from None
-            raise ctx.refuse(Code.DEADLINE_PASSED, "the time is over", 0.1) from None
+                raise RefusedError(Code.ANSWER_LATE, "the deadline passed") from None
+            raise ctx.refuse(Code.DEADLINE_PASSED, "the deadline passed", 0.1) from None
 
     async def _answer_refusal(
         self, request: IncomingRequest, reply: ResponseWriter, error: RefusedError
@@ -229,25 +232,25 @@
             route=route,
             workspace=ctx.workspace.name if ctx and ctx.workspace else "",
             config=ctx.config_version if ctx else 0,
-            list_age=round(min(now - self._state.fleet.confirmed_at, LONGEST_AGE), 1),
+            list_age=round(min(now - self._state.fleet.confirmed_at, MAX_LOGGED_AGE_SECONDS), 1),
             code=code.name,
             outcome=outcome,
             tokens=[ctx.facts.prompt_tokens, ctx.facts.output_tokens] if ctx else None,
             ms=round((now - request.received) * 1000, 1),
             steps=_list_steps(ctx),
-            **_name_broken(ctx, code),
+            **_make_fingerprint_field(ctx, code),
         )
 
 
-def _name_broken(ctx: Context | None, code: Code) -> dict[str, str]:
-    """Return the field that names a request that broke at an upstream, whatever its id was."""
+def _make_fingerprint_field(ctx: Context | None, code: Code) -> dict[str, str]:
+    """Return the log field with the request's fingerprint if it may have failed at an upstream."""
     if ctx is None:
         return {}
     lost = ctx.may_have_run and code is not Code.OK
-    if not (lost or ctx.runs or ctx.lost_reads or code is Code.QUARANTINED):
+    if not (lost or ctx.runs or ctx.failed_prefills or code is Code.QUARANTINED):
         return {}
-    name = ctx.name
-    return {"name": str(name)} if name else {}
+    fingerprint = ctx.fingerprint
+    return {"name": str(fingerprint)} if fingerprint else {}
 
 
 def _list_steps(ctx: Context | None) -> Sequence[str]:
--- a/src/swifttrestle/internal/forward/reading.py
+++ b/src/swifttrestle/internal/forward/prefill.py
@@ -1,4 +1,4 @@
-"""The reading of a request's prompt at an engine, and the handle of what that keeps for it."""
+"""Has prompts prefilled by engines, and manages the handles of their KV caches."""
 
 import asyncio
 import contextlib
@@ -29,103 +29,106 @@
 )
 from swifttrestle.platform.wire import ForwardingHeaders, read_response_metadata
 
-# An engine that has not read a prompt after this many times the predicted time is given up
-# on; no sooner than LEAST_READ_SECONDS.
-READ_PATIENCE = 4.0
-LEAST_READ_SECONDS = 1.0
-# Seconds in which a freed handle's call must be answered.
-FREE_SECONDS = 1.0
-# Seconds after which a caller may come back whose prompt no engine read.
-SOON_SECONDS = 0.05
-SMALL_ANSWER_BYTES = 64 * 1024
+# Timeout of a prefill, as a multiple of its predicted duration, and its minimum.
+PREFILL_TIMEOUT_FACTOR = 4.0
+MIN_PREFILL_TIMEOUT_SECONDS = 1.0
+# Timeout of the call that frees a handle.
+FREE_TIMEOUT_SECONDS = 1.0
+# Retry-After where no engine prefilled the prompt.
+RETRY_AFTER_SECONDS = 0.05
+MAX_ANSWER_BYTES = 64 * 1024
 
 
 @dataclass
-class Use:
-    """The use of one booked engine so far; `began` in the loop's time."""
+class EngineUse:
+    """The use of one booked engine; `started_at` is in the loop's time."""
 
-    began: float
+    started_at: float
     outcome: Outcome = Outcome.CANCELLED
 
 
-class DirectReading:
-    """The reading of a prompt by the engine that makes the tokens: over with the first of these."""
+class DirectPrefill:
+    """The prefill of a prompt by its decode engine, which ends with the first token."""
 
     def __init__(self, booking: Booking, booker: Booker) -> None:
-        """Begin now; a booking of two engines is left alone."""
+        """Start now; has no effect for a booking with a separate prefill engine."""
         self._booking = booking
         self._booker = booker
-        self._began = asyncio.get_running_loop().time()
-        self._open = booking.direct
+        self._started_at = asyncio.get_running_loop().time()
+        self._active = booking.direct
 
     def end(self) -> None:
-        """Note that the prompt has been read."""
+        """Record that the prompt has been prefilled."""
         self._end(Outcome.DONE)
 
     def cancel(self) -> None:
-        """Note that the engine does not read it any more, unless it has done so."""
+        """Record that the prefill was abandoned, unless it has ended."""
         self._end(Outcome.CANCELLED)
 
     def _end(self, outcome: Outcome) -> None:
-        if self._open:
-            self._open = False
-            seconds = asyncio.get_running_loop().time() - self._began
+        if self._active:
+            self._active = False
+            seconds = asyncio.get_running_loop().time() - self._started_at
             self._booker.end(self._booking, Stage.READ, outcome, seconds)
 
 
-class PromptReader:
-    """Has prompts read by the engines that were booked for it."""
+class PromptPrefiller:
+    """Has prompts prefilled by the engines that were booked for that."""
 
-    def __init__(self, parts: GatewayState, booker: Booker) -> None:
-        """Use the host's shared parts; give readers back to `booker`."""
-        self._state = parts
+    def __init__(self, state: GatewayState, booker: Booker) -> None:
+        """Use the host's shared state; release engines to `booker`."""
+        self._state = state
         self._booker = booker
         self._background: set[asyncio.Task[None]] = set()
 
-    async def read(self, ctx: Context, booking: Booking) -> KvHandle | None:
-        """Have the prompt read; None where the engine refused or failed.
+    async def prefill(self, ctx: Context, booking: Booking) -> KvHandle | None:
+        """Have the prompt prefilled; return None if the engine refused or failed.
 
-        Raises RefusedError where no other engine may be tried, and UpstreamHeldError where one of
-        the two takes nothing now: a prompt is not read for an engine that then makes no tokens.
+        Raises RefusedError if no other engine may be tried, and UpstreamHeldError if either of the
+        booked engines accepts no requests at the moment.
         """
         reader, loop = booking.reader, asyncio.get_running_loop()
-        use = Use(loop.time())
+        use = EngineUse(loop.time())
         expected = (
             booking.wait + booking.fetch_seconds + booking.tokens / reader.effective_read_rate
         )
-        limit = max(LEAST_READ_SECONDS, READ_PATIENCE * expected)
+        timeout_seconds = max(MIN_PREFILL_TIMEOUT_SECONDS, PREFILL_TIMEOUT_FACTOR * expected)
         try:
             await self._state.permits.reserve(ctx, reader, booking.decoder)
-            async with self._state.attempt(ctx, reader, acquits=False):
-                handle = await self._call(ctx, booking, min(limit, max(0.0, ctx.left)))
+            async with self._state.attempt(ctx, reader, is_final_answer=False):
+                handle = await self._request_prefill(
+                    ctx, booking, min(timeout_seconds, max(0.0, ctx.seconds_left))
+                )
             use.outcome = Outcome.DONE
             self._state.ejector.note_success(reader.name, loop.time())
         except (UpstreamLeavingError, UpstreamBusyError, UpstreamBrokenError) as error:
             use.outcome = self._state.note_failed_use(ctx, reader, error)
-            self._note_lost(ctx, reader, use.outcome, str(error))
+            self._record_failure(ctx, reader, use.outcome, str(error))
             return None
         finally:
-            seconds = loop.time() - use.began
+            seconds = loop.time() - use.started_at
             self._booker.end(booking, Stage.READ, use.outcome, seconds)
         self._state.metrics.observe("gateway_read_seconds", seconds)
         ctx.note(f"read {handle.tokens} tokens")
         return handle
 
     def free(self, reader: Instance, handle: KvHandle | None) -> None:
-        """Free a handle in the background: its memory is of use to others."""
+        """Free a handle in the background, so that the engine can reuse its memory."""
         if handle is None or reader.gone:
             return
-        task = asyncio.ensure_future(self._call_free(reader, handle))
+        task = asyncio.ensure_future(self._free_handle(reader, handle))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    def _note_lost(self, ctx: Context, reader: Instance, outcome: Outcome, reason: str) -> None:
-        """Count a reading that failed; raise RefusedError where none may follow.
+    def _record_failure(
+        self, ctx: Context, reader: Instance, outcome: Outcome, reason: str
+    ) -> None:
+        """Record a failed prefill; raise RefusedError if it may not be repeated.
 
-        The first reading that an engine takes up is free, and each that is rejected counts as
-        a repeat: after a rejection the next one is free again, after a broken one it counts.
+        A rejection itself counts against the retry budget, and the attempt after it does not. After
+        any other failure the next attempt counts.
         """
-        ctx.lost_reads += 1
+        ctx.failed_prefills += 1
         ctx.excluded.add(reader.name)
         ctx.note(f"reader {reader.name} failed: {reason}")
         now = asyncio.get_running_loop().time()
@@ -136,38 +139,40 @@
         else:
             allowed = budget.take(now)
         if not allowed:
-            raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, SOON_SECONDS)
+            raise ctx.refuse(Code.UPSTREAM_REFUSED, reason, RETRY_AFTER_SECONDS)
 
-    async def _call(self, ctx: Context, booking: Booking, limit: float) -> KvHandle:
+    async def _request_prefill(
+        self, ctx: Context, booking: Booking, timeout_seconds: float
+    ) -> KvHandle:
         reader = booking.reader
-        added = ForwardingHeaders(
+        forwarding = ForwardingHeaders(
             reader.record.instance,
-            ctx.left,
+            ctx.seconds_left,
             ctx.priority,
             prefill_only=True,
             fetch_from=find_source_address(booking),
         )
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout_seconds):
                 head, content = await call_once(
                     self._state.pool,
                     reader.name,
                     reader.record.address,
-                    build_request(ctx, added),
-                    SMALL_ANSWER_BYTES,
+                    build_request(ctx, forwarding),
+                    MAX_ANSWER_BYTES,
                 )
         except TimeoutError:
-            raise UpstreamSilentError("the prompt was not read in time") from None
+            raise UpstreamSilentError(f"no prefill within {timeout_seconds:.2f} s") from None
         facts = read_response_metadata(head.status, head.headers, reader.record.instance)
         if facts.not_run:
             if facts.replaced:
-                raise UpstreamLeavingError(f"{reader.name} takes no prompts at its address")
+                raise UpstreamLeavingError(f"{reader.name} was replaced at its address")
             raise UpstreamBusyError(f"{reader.name} refused with {head.status}")
         if head.status != 200 or facts.request_id not in (b"", ctx.facts.request_id):
             raise UpstreamBrokenError(f"{reader.name} answered {head.status}")
         return read_handle(content)
 
-    async def _call_free(self, reader: Instance, handle: KvHandle) -> None:
+    async def _free_handle(self, reader: Instance, handle: KvHandle) -> None:
         request = OutgoingRequest(
             b"DELETE",
             build_handle_path(handle),
@@ -178,19 +183,19 @@
         )
         with contextlib.suppress(TimeoutError):
             try:
-                async with asyncio.timeout(FREE_SECONDS):
+                async with asyncio.timeout(FREE_TIMEOUT_SECONDS):
                     await call_once(
                         self._state.pool,
                         reader.name,
                         reader.record.address,
                         request,
-                        SMALL_ANSWER_BYTES,
+                        MAX_ANSWER_BYTES,
                     )
             except UpstreamBrokenError as error:
                 log_event("handle not freed", engine=reader.name, reason=str(error))
 
 
 def find_source_address(booking: Booking) -> tuple[str, int] | None:
-    """Return where the reader is to fetch from; None where it reads all that it lacks."""
+    """Return the address to fetch KV cache from; None if the engine prefills all of the rest."""
     source = booking.source
     return None if source is None or source.leaving else source.record.address
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -1,16 +1,14 @@
-"""Booking where many hosts share engines: hosts ask the scheduler of a zone.
-
-Open work that hosts report to each other is as old as the pause between two reports, and
-that pause grows with their number. From some number of hosts on, more prompts are sent to
-an engine within one pause than it reads in that time. One host of each availability zone, the
-scheduler, then books the zone's engines for all hosts and so knows what is open there. A prompt
-that shares a long part goes to the scheduler of the zone that keeps it (see `policy.homes`), any
-other one to that of its caller's zone. Every host finds the same scheduler by a hash over those
-that live; it keeps nothing that must last, so the next one takes over as soon as the first is
-silent.
-
-A host that gets no answer asks the zone that is next by the hash, and then books by its own
-knowledge, as a small fleet does.
+"""Books engines through schedulers in large fleets.
+
+The more hosts there are, the less often they report open work to each other, and the more prompts
+they could send to an engine between two reports. In large fleets one host of each availability
+zone, the scheduler, therefore books the zone's engines for all hosts. A prompt with a long shared
+part goes to the scheduler of the part's home zone (see `policy.home_zones`), any other one to that
+of its caller's zone. All hosts find the same scheduler by rendezvous hashing over the live hosts.
+Its state need not survive it, so another one can take over at any time.
+
+A host that gets no reply asks the scheduler of the next zone, and then books locally, as in a small
+fleet.
 """
 
 import asyncio
@@ -49,30 +47,26 @@
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
-# Seconds in which a scheduler must answer, with engines or with the word that the request
-# waits: some round trips between availability zones, and what two hosts' links may hold up
-# behind the bodies of requests.
-ANSWER_SECONDS = 0.05
-# Missing answers in a row after which a scheduler is not asked for a while, and that while in
-# seconds: a single datagram may be lost, and what a host knows by itself is old.
-SILENCES_TO_PAUSE = 2
-SILENT_SECONDS = 0.5
-# Seconds beyond the longest wait after which a waiting request is given up here as well.
+# Timeout for a scheduler's reply, with engines or that the request waits: some round trips between
+# availability zones, plus queueing on the hosts' links.
+REPLY_TIMEOUT_SECONDS = 0.05
+# Consecutive missing replies after which a scheduler is not asked for some seconds.
+MISSED_REPLIES_TO_SUSPEND = 2
+SUSPEND_SECONDS = 0.5
+# Seconds beyond its longest wait after which a waiting request is abandoned here as well.
 GRACE_SECONDS = 0.05
-# Seconds for which the homes of a service are kept: 11 services of 900 engines then cost a host
-# under a hundredth of a core. An engine that comes or goes in between moves few parts, and the
-# scheduler of its zone knows of it at once.
-HOMES_SECONDS = 1.0
-# Bits of the number at which a host starts to count what it asks other hosts.
+# Seconds for which the home zones of a service are cached. A change of engines in between moves
+# few parts, and the zone's scheduler knows of it at once.
+HOME_ZONES_TTL_SECONDS = 1.0
+# Bits of the random number from which a host numbers its queries.
 NUMBER_BITS = 40
 
 
 @dataclass(frozen=True)
-class _Homes:
-    """The zones that may be homes of a service's parts, and the pace of its fastest engine.
+class _HomeZones:
+    """The zones that may be home zones of a service's parts, and its fastest prefill rate.
 
-    They are kept until a time, since to find them takes nine tenths of a millisecond with 900
-    engines in 13 zones.
+    Cached until `until`, in the loop's time.
     """
 
     until: float
@@ -81,47 +75,46 @@
 
 
 class ScheduledBooker(Booker):
-    """Asks the scheduler of this host's zone, and schedules for others where it is the one."""
+    """Asks schedulers for engines, and answers other hosts where this one is a scheduler."""
 
     def __init__(
         self,
         local: LocalBooker,
-        parts: GatewayState,
+        state: GatewayState,
         socket: PeerSocket,
         host: str,
         list_members: Callable[[], Sequence[Member]],
         is_in_same_region: Callable[[str], bool] = lambda zone: True,
     ) -> None:
-        """Book by `local` wherever no other host schedules.
+        """Book through `local` where no other host schedules.
 
-        `is_in_same_region` tells whether a zone is in this host's region: prompts have their homes
-        there.
+        `is_in_same_region` tells whether a zone is in this host's region: only such zones are home
+        zones.
         """
-        self._is_near = is_in_same_region
+        self._is_in_same_region = is_in_same_region
         self._local = local
-        self._state = parts
+        self._state = state
         self._socket = socket
         self._host = host
         self._list_members = list_members
-        # A host that starts anew must not meet the numbers of its former life.
-        self._numbers = itertools.count(parts.rng.getrandbits(NUMBER_BITS))
-        self._asked: dict[int, asyncio.Queue[Message]] = {}
-        self._silences: dict[str, int] = {}
-        self._silent_until: dict[str, float] = {}
-        self._homes: dict[str, _Homes] = {}
-        # The schedulers of services' engines by group, found among these members: each takes half a
-        # millisecond at 790 hosts.
+        # Starts at a random number, so that a restarted host does not reuse numbers.
+        self._numbers = itertools.count(state.rng.getrandbits(NUMBER_BITS))
+        self._pending: dict[int, asyncio.Queue[Message]] = {}
+        self._missed_replies: dict[str, int] = {}
+        self._suspended_until: dict[str, float] = {}
+        self._home_zones: dict[str, _HomeZones] = {}
+        # Cached schedulers by service and group, valid for these members.
         self._schedulers: dict[tuple[str, str], Member | None] = {}
         self._members: tuple[Member, ...] = ()
-        self._scheduler = Scheduler(local, parts, self._send, list_members)
+        self._scheduler = Scheduler(local, state, self._send, list_members)
         socket.receive(DatagramKind.BOOKING, self._receive)
 
     def serve_queues(self) -> None:
-        """Look at the waiting requests."""
+        """Book engines for waiting requests."""
         self._local.serve_queues()
 
     async def book(self, request: BookingRequest) -> Booking | NoCapacity:
-        """Book by a scheduler, or by this host's own knowledge where all of them are silent."""
+        """Book through a scheduler, or locally if none of them replies."""
         for zone, scheduler in self._choose_schedulers(request):
             placed = replace(request, zone=zone)
             if scheduler.host == self._host:
@@ -130,30 +123,30 @@
             found = await self._ask(scheduler, placed)
             if found is not None:
                 return found
-            request = _shorten(request, _now() - began)
+            request = _reduce_times(request, _now() - began)
         return await self._local.book(request)
 
     async def _ask(self, scheduler: Member, request: BookingRequest) -> Booking | NoCapacity | None:
-        """Return the scheduler's answer; None where none came that can be used."""
+        """Return the scheduler's reply; None if there is none that can be used."""
         number = next(self._numbers)
         answers: asyncio.Queue[Message] = asyncio.Queue()
-        self._asked[number] = answers
+        self._pending[number] = answers
         found: Booking | NoCapacity | None = None
         try:
-            self._send(scheduler.ip, BookingQuery(number, self._exclude_broken(request)))
-            found = await self._await_answer(scheduler, answers, request)
-            self._silences.pop(scheduler.host, None)
+            self._send(scheduler.ip, BookingQuery(number, self._exclude_unusable(request)))
+            found = await self._await_reply(scheduler, answers, request)
+            self._missed_replies.pop(scheduler.host, None)
         except TimeoutError:
-            self._note_silent(scheduler)
+            self._record_missed_reply(scheduler)
         finally:
-            del self._asked[number]
+            del self._pending[number]
             if found is None:
-                # The answer may still be on its way: whatever was booked is not used.
+                # The reply may still be in flight; releases what was booked.
                 self._cancel(scheduler.ip, number)
         return found
 
-    def _exclude_broken(self, request: BookingRequest) -> BookingRequest:
-        """Name the engines that this host cannot use now; the scheduler may not know of them."""
+    def _exclude_unusable(self, request: BookingRequest) -> BookingRequest:
+        """Exclude engines that this host cannot use, as the scheduler may not know of them."""
         now = _now()
         engines = self._state.fleet.list_service(request.service)
         names = {
@@ -171,17 +164,17 @@
         names |= self._state.fleet.list_leaving(request.service)
         return replace(request, excluded=request.excluded | names) if names else request
 
-    async def _await_answer(
+    async def _await_reply(
         self, scheduler: Member, answers: "asyncio.Queue[Message]", request: BookingRequest
     ) -> Booking | NoCapacity | None:
-        """Return the scheduler's answer; None for engines that are not known here."""
-        max_wait = ANSWER_SECONDS
+        """Return the scheduler's reply; None if it names engines that this host cannot use."""
+        timeout_seconds = REPLY_TIMEOUT_SECONDS
         while True:
-            async with asyncio.timeout(max_wait):
+            async with asyncio.timeout(timeout_seconds):
                 answer = await answers.get()
             match answer:
                 case Wait():
-                    max_wait = max(request.longest_wait, request.max_wait) + GRACE_SECONDS
+                    timeout_seconds = max(request.longest_wait, request.max_wait) + GRACE_SECONDS
                 case Refuse(_, waiting, next_free_seconds):
                     return NoCapacity(waiting, next_free_seconds)
                 case Grant():
@@ -192,7 +185,7 @@
     ) -> Booking | None:
         reader = self._state.fleet.instances.get(grant.reader)
         decoder = self._state.fleet.instances.get(grant.decoder)
-        # The scheduler's list may be older than this host's, where it cannot reach the store.
+        # The scheduler's discovery list may be older than this host's.
         if any(engine is None or engine.record.leaving for engine in (reader, decoder)):
             log_event("booking not used", reader=grant.reader, decoder=grant.decoder)
             return None
@@ -210,7 +203,7 @@
         )
 
     def end(self, booking: Booking, stage: Stage, outcome: Outcome, seconds: float) -> None:
-        """Give an engine back, to the scheduler that keeps the booking."""
+        """End one stage of a booking, at the scheduler that made it."""
         if booking.reference is None:
             self._local.end(booking, stage, outcome, seconds)
             return
@@ -219,7 +212,7 @@
         self._send(booking.reference.ip, End(booking.reference.number, stage, outcome, seconds))
 
     def list_schedulers(self) -> set[str]:
-        """Return the hosts that schedule engines of any service."""
+        """Return the hosts that schedule any service's engines."""
         members = self._list_members()
         if not is_large_fleet(len(members)):
             return set()
@@ -230,40 +223,44 @@
         return found
 
     def schedules_engines(self) -> bool:
-        """Return whether this host chooses engines itself, for its own callers or for others."""
+        """Return whether this host itself chooses engines, for its own callers or for others."""
         return not is_large_fleet(len(self._list_members())) or self._host in self.list_schedulers()
 
     async def run(self) -> None:
-        """Schedule for others for as long as the process lives."""
+        """Run the scheduler until cancelled."""
         await self._scheduler.run()
 
-    # As a caller of the scheduler.
+    # Client side.
 
-    def _find_homes(self, service: str) -> _Homes:
-        known = self._homes.get(service)
+    def _find_home_zones(self, service: str) -> _HomeZones:
+        known = self._home_zones.get(service)
         if known is None or _now() >= known.until:
             engines = self._state.fleet.list_service(service)
-            zones = {item.zone for item in self._list_members() if self._is_near(item.zone)}
+            zones = {
+                item.zone for item in self._list_members() if self._is_in_same_region(item.zone)
+            }
             weights = count_engines_by_zone(engines, zones)
             effective_read_rate = max((item.effective_read_rate for item in engines), default=0.0)
-            known = _Homes(_now() + HOMES_SECONDS, weights, effective_read_rate)
-            self._homes[service] = known
+            known = _HomeZones(_now() + HOME_ZONES_TTL_SECONDS, weights, effective_read_rate)
+            self._home_zones[service] = known
         return known
 
     def _choose_schedulers(self, request: BookingRequest) -> Iterator[tuple[str, Member]]:
-        """Yield the schedulers to ask in turn, each with the zone to book in."""
+        """Yield the schedulers to ask in turn, each with its zone."""
         if not is_large_fleet(len(self._list_members())):
             return
-        homes = self._find_homes(request.service)
+        home_zones = self._find_home_zones(request.service)
         for zone in list_home_zones(
-            request.parts, homes.weights, homes.effective_read_rate, request.zone
+            request.parts, home_zones.weights, home_zones.effective_read_rate, request.zone
         ):
-            found = self._find_scheduler(request.service, zone if zone in homes.weights else "")
-            if found is not None and _now() >= self._silent_until.get(found.host, 0.0):
+            found = self._find_scheduler(
+                request.service, zone if zone in home_zones.weights else ""
+            )
+            if found is not None and _now() >= self._suspended_until.get(found.host, 0.0):
                 yield zone, found
 
     def _find_scheduler(self, service: str, group: str) -> Member | None:
-        """Return the host that schedules a service's engines of a group; None if it has none."""
+        """Return the host that schedules a service's engines of a group; None if there is none."""
         members = tuple(self._list_members())
         if members != self._members:
             self._members = members
@@ -272,14 +269,14 @@
             self._schedulers[service, group] = find_scheduler(members, service, group)
         return self._schedulers[service, group]
 
-    def _note_silent(self, scheduler: Member) -> None:
-        """Count a missing answer; leave the scheduler alone for a while after some in a row."""
-        silences = self._silences.get(scheduler.host, 0) + 1
-        log_event("scheduler silent", scheduler=scheduler.host, in_a_row=silences)
-        if silences >= SILENCES_TO_PAUSE:
-            self._silent_until[scheduler.host] = _now() + SILENT_SECONDS
-            silences = 0
-        self._silences[scheduler.host] = silences
+    def _record_missed_reply(self, scheduler: Member) -> None:
+        """Count a missing reply; suspend the scheduler after several in a row."""
+        missed_replies = self._missed_replies.get(scheduler.host, 0) + 1
+        log_event("scheduler silent", scheduler=scheduler.host, in_a_row=missed_replies)
+        if missed_replies >= MISSED_REPLIES_TO_SUSPEND:
+            self._suspended_until[scheduler.host] = _now() + SUSPEND_SECONDS
+            missed_replies = 0
+        self._missed_replies[scheduler.host] = missed_replies
 
     def _cancel(self, ip: str, number: int) -> None:
         for stage in Stage:
@@ -298,15 +295,15 @@
             case End():
                 self._scheduler.end(host, message)
             case _:
-                waiting = self._asked.get(message.number)
+                waiting = self._pending.get(message.number)
                 if waiting is not None:
                     waiting.put_nowait(message)
                 elif isinstance(message, Grant):
                     self._cancel(ip, message.number)
 
 
-def _shorten(request: BookingRequest, waited: float) -> BookingRequest:
-    """Return a request of which so many seconds have passed."""
+def _reduce_times(request: BookingRequest, waited: float) -> BookingRequest:
+    """Return the request with its times reduced by the seconds that have passed."""
     return replace(
         request,
         longest_wait=max(0.0, request.longest_wait - waited),
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -1,4 +1,4 @@
-"""Books engines for the hosts of a zone, and keeps each booking until it is given back."""
+"""The scheduler's side of shared bookings: books engines for the other hosts of a zone."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -19,83 +19,83 @@
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
 
-# Seconds after a request's deadline at which its booking ends where nothing was heard: the
-# datagram that gave it back may be lost.
+# Seconds after a request's deadline at which its booking expires: the datagram that ends it may be
+# lost.
 EXPIRY_SECONDS = 0.5
-# Seconds after which a prompt counts as read where nothing was heard.
-LONGEST_READ_SECONDS = 2.0
-# Seconds between two looks for bookings that have expired.
-SWEEP_SECONDS = 0.25
+# Seconds after its predicted start at which a prefill expires.
+MAX_PREFILL_SECONDS = 2.0
+# Seconds between checks for expired bookings.
+EXPIRY_INTERVAL_SECONDS = 0.25
 
 
 @dataclass
-class _Kept:
-    """A booking that this host keeps for another one, with the loop's times of its ends."""
+class _HostBooking:
+    """A booking of another host, with the loop's times at which its stages expire."""
 
     booking: Booking
     host: str
-    read_until: float
-    decode_until: float
-    reading: bool = True
+    prefill_expires_at: float
+    decode_expires_at: float
+    prefilling: bool = True
     decoding: bool = True
 
 
 class Scheduler:
-    """This host's part as a scheduler; what it has booked counts as its own open work."""
+    """Books engines for other hosts; the bookings count as this host's own open work."""
 
     def __init__(
         self,
         local: LocalBooker,
-        parts: GatewayState,
+        state: GatewayState,
         send: Callable[[str, Message], None],
         list_members: Callable[[], Sequence[Member]],
     ) -> None:
-        """Book by `local`; answer hosts by `send`, which takes an IP and a message."""
+        """Book through `local`; reply through `send`, which takes an IP and a message."""
         self._local = local
-        self._state = parts
+        self._state = state
         self._send = send
         self._list_members = list_members
-        self._kept: dict[BookingReference, _Kept] = {}
-        self._serving: dict[BookingReference, asyncio.Task[None]] = {}
+        self._bookings: dict[BookingReference, _HostBooking] = {}
+        self._waiting: dict[BookingReference, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Drop expired bookings for as long as the process lives."""
+        """Drop expired bookings until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
-            self.sweep(_now())
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
+            self.drop_expired(_now())
 
     def serve(self, host: str, ip: str, ask: BookingQuery) -> None:
-        """Answer a host with engines, or with the word that its request waits.
+        """Reply to a host with booked engines, or that its request waits.
 
-        Raises FrameError for a booking that is known already.
+        Raises FrameError for a duplicate query.
         """
         reference = BookingReference(host, ask.number)
-        if reference in self._serving or reference in self._kept:
-            raise FrameError(f"booking {ask.number} of {host} was asked for twice")
+        if reference in self._waiting or reference in self._bookings:
+            raise FrameError(f"booking {ask.number} of host {host} was requested twice")
         booking = self._local.book_now(ask.request)
         if booking is not None:
-            self._keep(reference, ip, ask.request, booking)
+            self._grant(reference, ip, ask.request, booking)
             return
         self._send(ip, Wait(ask.number))
         task = asyncio.ensure_future(self._serve_waiting(reference, ip, ask))
-        self._serving[reference] = task
-        task.add_done_callback(lambda _: self._serving.pop(reference, None))
+        self._waiting[reference] = task
+        task.add_done_callback(lambda _: self._waiting.pop(reference, None))
 
     async def _serve_waiting(self, reference: BookingReference, ip: str, ask: BookingQuery) -> None:
         found = await self._local.book(ask.request)
         if isinstance(found, NoCapacity):
             self._send(ip, Refuse(ask.number, found.waiting, found.next_free_seconds))
             return
-        self._keep(reference, ip, ask.request, found)
+        self._grant(reference, ip, ask.request, found)
 
-    def _keep(
+    def _grant(
         self, reference: BookingReference, ip: str, request: BookingRequest, booking: Booking
     ) -> None:
         now = _now()
-        decode_until = now + request.left + EXPIRY_SECONDS
-        read_until = min(decode_until, now + booking.wait + LONGEST_READ_SECONDS)
-        kept = _Kept(booking, reference.host, read_until, decode_until)
-        self._kept[reference] = kept
+        decode_expires_at = now + request.left + EXPIRY_SECONDS
+        prefill_expires_at = min(decode_expires_at, now + booking.wait + MAX_PREFILL_SECONDS)
+        host_booking = _HostBooking(booking, reference.host, prefill_expires_at, decode_expires_at)
+        self._bookings[reference] = host_booking
         reader, decoder = booking.reader.name, booking.decoder.name
         grant = Grant(
             reference.number,
@@ -110,51 +110,53 @@
         self._send(ip, grant)
 
     def end(self, host: str, end: End) -> None:
-        """Take back an engine of a host's booking, or its waiting request."""
+        """End one stage of a host's booking, or cancel its waiting request."""
         reference = BookingReference(host, end.number)
-        task = self._serving.get(reference)
+        task = self._waiting.get(reference)
         if task is not None:
             task.cancel()
-        kept = self._kept.get(reference)
-        if kept is None:
+        host_booking = self._bookings.get(reference)
+        if host_booking is None:
             return
-        self._end_stage(kept, end.stage, end.outcome, end.seconds)
-        if not kept.reading and not kept.decoding:
-            del self._kept[reference]
-
-    def _end_stage(self, kept: _Kept, stage: Stage, outcome: Outcome, seconds: float) -> None:
-        if stage is Stage.READ and kept.reading:
-            kept.reading = False
-            self._note_outcome(kept.booking.reader, outcome)
-            self._local.end(kept.booking, stage, outcome, seconds)
-        if stage is Stage.DECODE and kept.decoding:
-            kept.decoding = False
-            self._note_outcome(kept.booking.decoder, outcome)
-            self._local.end(kept.booking, stage, outcome, seconds)
-
-    def _note_outcome(self, engine: Instance, outcome: Outcome) -> None:
+        self._end_stage(host_booking, end.stage, end.outcome, end.seconds)
+        if not host_booking.prefilling and not host_booking.decoding:
+            del self._bookings[reference]
+
+    def _end_stage(
+        self, host_booking: _HostBooking, stage: Stage, outcome: Outcome, seconds: float
+    ) -> None:
+        if stage is Stage.READ and host_booking.prefilling:
+            host_booking.prefilling = False
+            self._record_outcome(host_booking.booking.reader, outcome)
+            self._local.end(host_booking.booking, stage, outcome, seconds)
+        if stage is Stage.DECODE and host_booking.decoding:
+            host_booking.decoding = False
+            self._record_outcome(host_booking.booking.decoder, outcome)
+            self._local.end(host_booking.booking, stage, outcome, seconds)
+
+    def _record_outcome(self, engine: Instance, outcome: Outcome) -> None:
         match outcome:
             case Outcome.DONE:
                 self._state.ejector.note_success(engine.name, _now())
             case Outcome.REFUSED:
                 self._state.note_refusal(engine, _now())
             case Outcome.BROKEN:
-                self._state.note_failure(engine, _now(), "a peer found it broken")
+                self._state.note_failure(engine, _now(), "failure reported by a peer")
             case Outcome.GONE | Outcome.CANCELLED:
-                # That it is gone, the discovery list tells; a wrong word must not drop it.
+                # Only the discovery list removes engines: a peer may be wrong.
                 pass
 
-    def sweep(self, now: float) -> None:
-        """Drop the bookings of lost hosts and those whose end was never heard of."""
+    def drop_expired(self, now: float) -> None:
+        """Drop the bookings of lost hosts, and expired ones."""
         members = {member.host for member in self._list_members()}
-        for reference, kept in list(self._kept.items()):
-            lost = kept.host not in members
-            if kept.reading and (lost or now > kept.read_until):
-                self._end_stage(kept, Stage.READ, Outcome.CANCELLED, 0.0)
-            if kept.decoding and (lost or now > kept.decode_until):
-                self._end_stage(kept, Stage.DECODE, Outcome.CANCELLED, 0.0)
-            if not kept.reading and not kept.decoding:
-                del self._kept[reference]
+        for reference, host_booking in list(self._bookings.items()):
+            lost = host_booking.host not in members
+            if host_booking.prefilling and (lost or now > host_booking.prefill_expires_at):
+                self._end_stage(host_booking, Stage.READ, Outcome.CANCELLED, 0.0)
+            if host_booking.decoding and (lost or now > host_booking.decode_expires_at):
+                self._end_stage(host_booking, Stage.DECODE, Outcome.CANCELLED, 0.0)
+            if not host_booking.prefilling and not host_booking.decoding:
+                del self._bookings[reference]
 
 
 def _now() -> float:
