--- a/tests/cover/test_bookings.py
+++ b/tests/cover/test_bookings.py
@@ -1,4 +1,4 @@
-"""Engines booked through the scheduler of a zone: counts, queueing, losses, takeovers."""
+"""Engines booked through a zone's scheduler: counts, queueing, lost datagrams, takeovers."""
 
 import asyncio
 import random
@@ -33,13 +33,13 @@
 from swifttrestle.internal.state.fleet import Fleet, Instance
 from swifttrestle.internal.state.members import Member
 
-# A prompt of three seconds, at the pace that engines count with until it is measured: times
-# so long that a pause of the test's own machine changes nothing.
+# A prompt that takes three seconds at the default prefill rate: long enough that delays of the test
+# machine do not matter.
 REQUEST = BookingRequest("s", "a", 300_000, "part", 0, True, 20.0, 1.0, 3.5)
 
 
 class Network:
-    """Datagrams between hosts of one loop; `lose` says which are lost."""
+    """Datagrams between hosts of one event loop; `lose` tells which are lost."""
 
     def __init__(self):
         self.receivers, self.lose, self.sent = {}, lambda message: False, []
@@ -64,7 +64,7 @@
 
 
 class Host:
-    """One host's part in the bookings, over a fleet of its own with the same engines."""
+    """One host's booker, with its own fleet of the same engines."""
 
     def __init__(self, network, name, members, engines, seed=1):
         fleet = Fleet()
@@ -84,9 +84,9 @@
 
 
 def run_hosts(act, monkeypatch, names="hij", engines=TWO_ENGINES, answer_seconds=30.0):
-    """Run `act` with the hosts, the scheduler first."""
+    """Run `act` with the hosts; the scheduler comes first."""
     monkeypatch.setattr(scheduled_booking, "is_large_fleet", lambda _: True)
-    monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", answer_seconds)
+    monkeypatch.setattr(scheduled_booking, "REPLY_TIMEOUT_SECONDS", answer_seconds)
 
     async def whole():
         network = Network()
@@ -99,31 +99,31 @@
     asyncio.run(whole())
 
 
-def end_all(host, booking):
+def end_both_stages(host, booking):
     host.booker.end(booking, Stage.READ, Outcome.DONE, 0.05)
     host.booker.end(booking, Stage.DECODE, Outcome.DONE, 0.01)
 
 
-async def settle():
+async def run_pending_tasks():
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-def test_the_scheduler_counts_what_others_have_booked_until_it_is_given_back(monkeypatch):
+def test_the_scheduler_counts_bookings_of_other_hosts_until_they_end(monkeypatch):
     async def act(_, members, scheduler, other, third):
         booking = await other.booker.book(REQUEST)
         assert (booking.reader.name, booking.decoder.name) == ("p", "d")
         assert booking.reference.host == find_scheduler(members, "s", "").host
         assert scheduler.open_work() == 2
         assert other.open_work() == third.open_work() == 0
-        end_all(other, booking)
-        await settle()
+        end_both_stages(other, booking)
+        await run_pending_tasks()
         assert scheduler.open_work() == 0
 
     run_hosts(act, monkeypatch)
 
 
-def test_hosts_that_ask_in_the_same_moment_do_not_flood_an_engine(monkeypatch):
+def test_hosts_that_ask_at_the_same_time_do_not_overload_an_engine(monkeypatch):
     async def act(_, members, scheduler, *others):
         asked = [host.booker.book(REQUEST) for host in others for _ in range(5)]
         found = await asyncio.gather(*asked)
@@ -137,76 +137,76 @@
     run_hosts(act, monkeypatch)
 
 
-def test_a_request_that_waits_gets_the_engine_that_another_host_gives_back(monkeypatch):
+def test_a_waiting_request_gets_the_engine_that_another_host_releases(monkeypatch):
     async def act(network, members, scheduler, other, third):
         first, second = await other.booker.book(REQUEST), await third.booker.book(REQUEST)
         waiting = asyncio.ensure_future(third.booker.book(REQUEST))
-        await settle()
+        await run_pending_tasks()
         assert Wait in {type(message) for message in network.sent}
-        end_all(other, first)
+        end_both_stages(other, first)
         assert isinstance(await waiting, Booking)
-        end_all(third, second)
+        end_both_stages(third, second)
 
     run_hosts(act, monkeypatch)
 
 
-def test_a_request_whose_turn_would_come_too_late_is_refused_at_once(monkeypatch):
+def test_a_request_that_would_be_placed_too_late_is_refused_at_once(monkeypatch):
     async def act(network, members, scheduler, other, third):
         held = [await other.booker.book(REQUEST) for _ in range(2)]
         waiting = asyncio.ensure_future(third.booker.book(REQUEST))
-        await settle()
-        # One prompt takes three seconds, and a request waits one at most.
-        hopeless = asyncio.ensure_future(third.booker.book(REQUEST))
-        await settle()
-        assert hopeless.done()
-        assert hopeless.result().waiting == 1
+        await run_pending_tasks()
+        # A prompt takes three seconds, and a request waits for one at most.
+        refused = asyncio.ensure_future(third.booker.book(REQUEST))
+        await run_pending_tasks()
+        assert refused.done()
+        assert refused.result().waiting == 1
         assert not waiting.done()
-        end_all(other, held[0])
+        end_both_stages(other, held[0])
         assert isinstance(await waiting, Booking)
 
     run_hosts(act, monkeypatch)
 
 
-def test_a_silent_scheduler_is_replaced_by_own_knowledge_and_left_alone_for_a_while(monkeypatch):
+def test_hosts_book_locally_and_stop_asking_a_scheduler_that_does_not_reply(monkeypatch):
     async def act(network, members, scheduler, other, _):
         network.lose = lambda message: isinstance(message, Grant)
-        for _ in range(scheduled_booking.SILENCES_TO_PAUSE):
+        for _ in range(scheduled_booking.MISSED_REPLIES_TO_SUSPEND):
             booking = await other.booker.book(REQUEST)
             assert booking.reference is None
-            await settle()
-            # What the scheduler had booked for the lost answer was given back.
+            await run_pending_tasks()
+            # The scheduler's booking of the lost reply was released.
             assert scheduler.open_work() == 0
-            end_all(other, booking)
+            end_both_stages(other, booking)
         network.sent.clear()
-        end_all(other, await other.booker.book(REQUEST))
+        end_both_stages(other, await other.booker.book(REQUEST))
         assert not network.sent
 
-    monkeypatch.setattr(scheduled_booking, "SILENT_SECONDS", 30.0)
+    monkeypatch.setattr(scheduled_booking, "SUSPEND_SECONDS", 30.0)
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
 
-def test_one_lost_answer_does_not_have_a_scheduler_left_alone(monkeypatch):
+def test_a_scheduler_is_asked_again_after_one_lost_reply(monkeypatch):
     async def act(network, members, scheduler, other, _):
         network.lose = lambda message: isinstance(message, Grant)
-        end_all(other, await other.booker.book(REQUEST))
+        end_both_stages(other, await other.booker.book(REQUEST))
         network.lose = lambda message: False
-        monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", 30.0)
+        monkeypatch.setattr(scheduled_booking, "REPLY_TIMEOUT_SECONDS", 30.0)
         assert (await other.booker.book(REQUEST)).reference is not None
 
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
 
-def test_a_caller_that_leaves_while_it_waits_leaves_nothing_booked(monkeypatch):
+def test_a_caller_that_disconnects_while_it_waits_leaves_nothing_booked(monkeypatch):
     async def act(_, members, scheduler, other, third):
         held = [await other.booker.book(REQUEST) for _ in range(2)]
         waiting = asyncio.ensure_future(third.booker.book(REQUEST))
-        await settle()
+        await run_pending_tasks()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        await settle()
+        await run_pending_tasks()
         for booking in held:
-            end_all(other, booking)
-        await settle()
+            end_both_stages(other, booking)
+        await run_pending_tasks()
         assert scheduler.open_work() == 0
 
     run_hosts(act, monkeypatch)
@@ -215,32 +215,32 @@
 @pytest.mark.parametrize(
     ("later", "lost", "open_work"), [(0.1, False, 2), (30, False, 0), (0.1, True, 0)]
 )
-def test_a_booking_whose_end_is_lost_expires_with_its_request_or_its_host(
+def test_a_booking_whose_end_is_lost_expires_with_its_request_or_host(
     monkeypatch, later, lost, open_work
 ):
     async def act(network, members, scheduler, other, _):
         booking = await other.booker.book(REQUEST)
         network.lose = lambda message: isinstance(message, End)
-        end_all(other, booking)
+        end_both_stages(other, booking)
         if lost:
             members[:] = [item for item in members if item.host != other.booker._host]
-        scheduler.booker._scheduler.sweep(asyncio.get_running_loop().time() + later)
+        scheduler.booker._scheduler.drop_expired(asyncio.get_running_loop().time() + later)
         assert scheduler.open_work() == open_work
 
     run_hosts(act, monkeypatch)
 
 
-def test_a_host_that_starts_anew_does_not_reuse_its_former_numbers(monkeypatch):
+def test_a_restarted_host_does_not_reuse_its_booking_numbers(monkeypatch):
     async def act(network, members, scheduler, other, _):
         held = await other.booker.book(REQUEST)
-        again = Host(network, other.booker._host, members, TWO_ENGINES, seed=2)
-        booking = await again.booker.book(REQUEST)
+        restarted = Host(network, other.booker._host, members, TWO_ENGINES, seed=2)
+        booking = await restarted.booker.book(REQUEST)
         assert booking.reference not in (None, held.reference)
 
     run_hosts(act, monkeypatch)
 
 
-def test_an_engine_that_a_host_found_broken_is_left_out_by_the_scheduler_too(monkeypatch):
+def test_the_scheduler_ejects_an_engine_that_failed_at_another_host(monkeypatch):
     engines = [("p", Role.PREFILL), ("q", Role.PREFILL), ("d", Role.DECODE)]
 
     async def act(_, members, scheduler, other, third):
@@ -250,14 +250,14 @@
             broken.append(booking.reader)
             other.booker.end(booking, Stage.READ, Outcome.BROKEN, 0.1)
             other.booker.end(booking, Stage.DECODE, Outcome.CANCELLED, 0.1)
-            await settle()
+            await run_pending_tasks()
         assert broken == [broken[0]] * 3
         assert (await third.booker.book(REQUEST)).reader is not broken[0]
 
     run_hosts(act, monkeypatch, engines=engines)
 
 
-def test_an_engine_that_only_the_asking_host_cannot_use_is_not_given_to_it(monkeypatch):
+def test_a_host_is_not_given_an_engine_that_it_cannot_use(monkeypatch):
     engines = [("p", Role.PREFILL), ("q", Role.PREFILL), ("d", Role.DECODE)]
 
     async def act(_, members, scheduler, other, third):
@@ -268,9 +268,8 @@
     run_hosts(act, monkeypatch, engines=engines)
 
 
-def test_an_engine_that_leaves_is_not_used_though_the_scheduler_does_not_know(monkeypatch):
-    # Found on paharpath-routes-grown, trouble-1 (DRAIN): the scheduler could not reach the store
-    # and granted a decoding engine for three seconds after it had said that it leaves.
+def test_a_draining_engine_is_not_used_even_if_the_scheduler_grants_it(monkeypatch):
+    # The scheduler may not know that it is draining, if it cannot reach the store.
     engines = [("p", Role.PREFILL), ("d", Role.DECODE), ("e", Role.DECODE)]
 
     async def act(_, members, scheduler, other, third):
@@ -281,14 +280,14 @@
             if isinstance(found, Booking):
                 assert not found.decoder.record.leaving
         assert isinstance(found, NoCapacity)
-        await settle()
-        # What was granted and not used was given back.
+        await run_pending_tasks()
+        # Grants that were not used were released.
         assert scheduler.open_work() <= 2
 
     run_hosts(act, monkeypatch, engines=engines)
 
 
-def test_a_grant_that_crosses_the_word_of_leaving_is_given_back(monkeypatch):
+def test_a_grant_of_an_engine_that_has_just_started_to_drain_is_released(monkeypatch):
     async def act(network, members, scheduler, other, third):
         record = other.parts.fleet.instances["d"].record
 
@@ -299,7 +298,7 @@
 
         network.lose = leave
         assert isinstance(await other.booker.book(REQUEST), NoCapacity)
-        await settle()
+        await run_pending_tasks()
         assert scheduler.open_work() == 0
 
     run_hosts(act, monkeypatch)
@@ -309,7 +308,7 @@
     async def act(_, members, scheduler, other, third):
         held = [await other.booker.book(REQUEST) for _ in range(2)]
         waiting = asyncio.ensure_future(other.booker.book(REQUEST))
-        await settle()
+        await run_pending_tasks()
         short = BookingRequest("s", "a", 100, "part", 1, False, 20.0, 1.0, 3.5)
         assert (await third.booker.book(short)).direct
         assert not waiting.done()
@@ -329,7 +328,7 @@
         ("", "a", ""),
     ],
 )
-def test_a_zone_with_engines_enough_is_scheduled_apart(zones, zone, group):
+def test_a_zone_with_enough_engines_is_scheduled_on_its_own(zones, zone, group):
     engines = [
         Instance(UpstreamRecord(f"e{n}", "s", ("h", 1), name, 10, False, Role.PREFILL))
         for n, name in enumerate(zones)
@@ -337,7 +336,7 @@
     assert find_scheduling_group(engines, zone) == group
 
 
-def test_all_hosts_find_one_scheduler_and_another_where_it_is_gone():
+def test_all_hosts_find_the_same_scheduler_and_another_one_without_it():
     members = [Member(f"h{n}", f"ip{n}", "ab"[n % 2]) for n in range(20)]
     first = find_scheduler(members, "s", "a")
     assert first.zone == "a"
@@ -363,13 +362,13 @@
         End(5, Stage.DECODE, Outcome.REFUSED, 0.125),
     ],
 )
-def test_a_booking_message_survives_its_datagram(message):
+def test_a_booking_message_is_unchanged_after_packing_and_unpacking(message):
     assert unpack_message(pack_message("host", message)) == ("host", message)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.one_of(st.binary(max_size=60), st.lists(st.integers(0, 6), max_size=14).map(bytes)))
-def test_noise_for_a_booking_datagram_is_refused_with_a_typed_error(noise):
+def test_a_malformed_booking_datagram_raises_a_frame_error(noise):
     try:
         unpack_message(noise)
     except FrameError as error:
--- a/tests/cover/test_ejection_trials.py
+++ b/tests/cover/test_ejection_trials.py
@@ -1,10 +1,10 @@
-"""When an upstream is left out, and how it comes back."""
+"""Ejection of upstreams and the probe after it."""
 
 import pytest
 
 from swifttrestle.errors import UpstreamBrokenError, UpstreamUnreachedError
-from swifttrestle.internal.forward.gateway_state import weigh_failure
-from swifttrestle.internal.policy.ejection import TRIAL_SECONDS, Ejector
+from swifttrestle.internal.forward.gateway_state import get_failure_weight
+from swifttrestle.internal.policy.ejection import PROBE_INTERVAL_SECONDS, Ejector
 
 GROUP = ["a", "b", "c", "d"]
 BROKEN = UpstreamBrokenError("broken", sent=True)
@@ -15,7 +15,7 @@
 def make_ejector(*failures):
     ejector = Ejector(0.5, 2.0)
     for error in failures:
-        ejector.note_failure("a", GROUP, 100.0, weigh_failure(error))
+        ejector.note_failure("a", GROUP, 100.0, get_failure_weight(error))
     return ejector
 
 
@@ -26,29 +26,29 @@
         ((BROKEN, BROKEN), False),
         ((BROKEN, BROKEN, BROKEN), True),
         ((REFUSED,), True),
-        # A lost packet must not cost an engine.
+        # A single lost packet must not eject an engine.
         ((SILENT,), False),
         ((SILENT, SILENT), True),
         ((SILENT, BROKEN), True),
     ],
 )
-def test_an_upstream_that_nobody_reaches_is_left_out_sooner(failures, out):
+def test_an_unreachable_upstream_is_ejected_after_fewer_failures(failures, out):
     assert make_ejector(*failures).is_ejected("a", 100.0) is out
 
 
-def test_one_request_at_a_time_tries_an_upstream_that_comes_back():
+def test_one_request_at_a_time_probes_an_upstream_after_its_ejection():
     ejector = make_ejector(REFUSED)
     assert not ejector.is_ejected("a", 102.0)
     ejector.note_use("a", 102.0)
     assert ejector.is_ejected("a", 102.1)
-    assert not ejector.is_ejected("a", 102.0 + TRIAL_SECONDS)
+    assert not ejector.is_ejected("a", 102.0 + PROBE_INTERVAL_SECONDS)
     ejector.note_success("a", 102.2)
     assert not ejector.is_ejected("a", 102.2)
     ejector.note_use("a", 102.3)
     assert not ejector.is_ejected("a", 102.4)
 
 
-def test_an_upstream_that_fails_its_trial_is_left_out_for_longer():
+def test_an_upstream_that_fails_its_probe_is_ejected_for_longer():
     ejector = make_ejector(REFUSED)
     ejector.note_use("a", 102.0)
     assert ejector.note_failure("a", GROUP, 102.1)
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("fails", [True, False])
-def test_what_was_sent_before_it_was_left_out_neither_shortens_nor_prolongs_that(fails):
+def test_requests_sent_before_an_ejection_do_not_change_its_duration(fails):
     ejector = make_ejector(REFUSED)
     if fails:
         ejector.note_failure("a", GROUP, 100.5)
--- a/tests/cover/test_fetching.py
+++ b/tests/cover/test_fetching.py
@@ -1,4 +1,4 @@
-"""Where an engine fetches what another one has read of a prompt, and what is believed of that."""
+"""Fetching the KV cache of a prompt's prefix from another engine."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 
 from swifttrestle.internal.forward.booking import LocalBooker
 from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
-from swifttrestle.internal.forward.reading import find_source_address
+from swifttrestle.internal.forward.prefill import find_source_address
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.fetching import list_sources, plan_fetch
 from swifttrestle.internal.state.bookings import BookingRequest, Outcome, Stage
@@ -19,7 +19,7 @@
 SHARED = PromptPart("m/shared", 8000)
 OWN = PromptPart("m/own", 1000)
 PROMPT = (SHARED, OWN)
-# 100 kB a token over 100 GB/s: 1,000 tokens take a millisecond, and 10 ms to be read.
+# 100 kB a token over 100 GB/s: 1,000 tokens take 1 ms to copy and 10 ms to prefill.
 TRAITS = EngineTraits(40, 200_000, 100_000.0, 1e11, 5.0, 0.2)
 
 
@@ -37,17 +37,17 @@
         (0, "a", TRAITS, 8000, 0.008),
         (0, "b", TRAITS, 8000, 0.016),
         (7000, "a", TRAITS, 1000, 0.001),
-        # What is left is read as soon as a copy is set up.
+        # The prefill of the rest takes no longer than setting up a copy.
         (7500, "a", TRAITS, None, None),
         (8000, "a", TRAITS, None, None),
         (9000, "a", TRAITS, None, None),
-        # A link on which a copy takes longer than reading anew.
+        # A link on which a copy takes longer than the prefill.
         (0, "a", replace(TRAITS, link_bytes_per_second=1e9), None, None),
         (0, "a", replace(TRAITS, link_bytes_per_second=0.0), None, None),
         (0, "a", None, None, None),
     ],
 )
-def test_a_part_is_fetched_where_that_saves_time(kept, zone, traits, tokens, seconds):
+def test_a_part_is_fetched_if_that_saves_time(kept, zone, traits, tokens, seconds):
     sources = list_sources([make_engine("d", zone, read=(SHARED,))], PROMPT, ())
     fetch = plan_fetch(make_engine("r"), kept, sources, traits)
     assert (fetch.tokens if fetch else None) == tokens
@@ -63,11 +63,11 @@
         (make_engine("out", read=(SHARED,)), False),
     ],
 )
-def test_a_source_is_an_engine_that_has_read_the_beginning(engine, found):
+def test_a_source_is_an_engine_that_has_prefilled_the_prefix(engine, found):
     assert bool(list_sources([engine], PROMPT, {"out"})) is found
 
 
-def test_an_engine_that_leaves_is_no_source():
+def test_a_draining_engine_is_no_source():
     engine = make_engine("d", read=(SHARED,))
     engine.record = replace(engine.record, leaving=True)
     assert list_sources([engine], PROMPT, ()) == []
@@ -87,7 +87,7 @@
     assert fetch.source.name == chosen
 
 
-def test_a_part_that_was_read_once_stays_read_when_it_is_booked_again():
+def test_a_cached_part_stays_cached_when_it_is_booked_again():
     cache = PromptCache()
     cache.note(PROMPT, 200_000, read=True)
     cache.note(PROMPT, 200_000)
@@ -97,14 +97,14 @@
 
 
 @pytest.mark.parametrize("tokens", [0, 10**12])
-def test_parts_of_absurd_sizes_harm_no_belief(tokens):
+def test_parts_of_extreme_sizes_do_not_corrupt_the_cache_model(tokens):
     cache = PromptCache()
     cache.note((PromptPart("m/odd", tokens), *PROMPT), 200_000, read=True)
     assert 0 <= cache.count_read(PROMPT) <= 9000
 
 
 def run_booker(act, names="pq"):
-    """Run `act` with the parts and the booker of one host, two engines that read."""
+    """Run `act` with the state and the booker of one host with two prefill engines."""
 
     async def whole():
         fleet = Fleet()
@@ -124,7 +124,7 @@
     return replace(request, **changes)
 
 
-def test_a_prompt_that_another_engine_reads_fetches_only_once_it_has_been_read():
+def test_a_part_is_fetched_only_after_its_prefill_has_ended():
     async def act(parts, booker):
         first = await booker.book(make_request("1"))
         second = await booker.book(make_request("2", excluded=frozenset({first.reader.name})))
@@ -137,26 +137,26 @@
         assert (third.source, third.tokens) == (first.reader, 1000)
         assert third.fetch_seconds == pytest.approx(0.008)
         assert find_source_address(third) == (first.reader.name, 1)
-        # It may leave before the prompt is sent.
+        # It may be gone before the prompt is sent.
         first.reader.gone = True
         assert find_source_address(third) is None
 
     run_booker(act)
 
 
-def test_the_engine_that_makes_the_tokens_is_a_source_once_it_has_them():
+def test_the_decode_engine_is_a_source_after_its_stage_has_ended():
     async def act(parts, booker):
         booking = await booker.book(make_request("1"))
         booker.end(booking, Stage.READ, Outcome.BROKEN, 0.1)
         booker.end(booking, Stage.DECODE, Outcome.DONE, 0.1)
-        # Too many streams for it to read as well.
+        # Has too many open streams to prefill as well.
         booking.decoder.own = OpenWork(0, 30)
         assert (await booker.book(make_request("2"))).source is booking.decoder
 
     run_booker(act)
 
 
-def test_the_time_of_a_copy_is_not_learned_as_time_of_reading():
+def test_the_duration_of_a_copy_does_not_affect_the_learned_prefill_rate():
     async def act(parts, booker):
         first = await booker.book(make_request("1"))
         booker.end(first, Stage.READ, Outcome.DONE, 0.09)
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -1,4 +1,4 @@
-"""The gateway's decisions: splits of roles, placement, queueing, budgets, the role lease."""
+"""The gateway's policies: role splits, placement, queueing, retry budgets, the duty lease."""
 
 import asyncio
 import random
@@ -13,10 +13,18 @@
 )
 from swifttrestle.internal.coordination.duty_lease import DutyLeaseManager
 from swifttrestle.internal.forward.gateway_state import RetryBudgets
-from swifttrestle.internal.policy.placement import pick_decoder, pick_plain, pick_prefill_engine
+from swifttrestle.internal.policy.placement import (
+    pick_decode_engine,
+    pick_plain_instance,
+    pick_prefill_engine,
+)
 from swifttrestle.internal.policy.queueing import AdmissionQueue
 from swifttrestle.internal.policy.retry_window import WindowedRetryBudget
-from swifttrestle.internal.policy.role_split import count_decoders, find_best_count, plan_change
+from swifttrestle.internal.policy.role_split import (
+    count_default_decoders,
+    find_best_decode_count,
+    plan_change,
+)
 from swifttrestle.internal.state.declared import (
     Configuration,
     RetrySafety,
@@ -45,8 +53,8 @@
 @pytest.mark.parametrize(
     ("engines", "decoders"), [(0, 0), (1, 1), (2, 1), (3, 1), (4, 2), (6, 2), (9, 3), (29, 10)]
 )
-def test_the_first_split_leaves_most_engines_to_read(engines, decoders):
-    assert count_decoders(engines) == decoders
+def test_most_engines_prefill_while_no_load_is_known(engines, decoders):
+    assert count_default_decoders(engines) == decoders
 
 
 @pytest.mark.parametrize(
@@ -63,29 +71,28 @@
         (0, 6, 300_000, 2, 2),
     ],
 )
-def test_the_split_follows_offered_work_only_where_it_is_worth_a_change(
+def test_the_split_follows_offered_work_if_that_is_worth_a_change(
     prefill, decode, read, slots, wanted
 ):
     engines = make_engines(prefill, decode)
-    best = find_best_count(engines, decode, Demand(read, slots))
+    best = find_best_decode_count(engines, decode, Demand(read, slots))
     assert best == wanted
 
 
 @pytest.mark.parametrize(
     ("read_slots", "held", "wanted"),
-    # Twelve engines of 100,000 tokens a second and ten slots each, offered more than all read.
+    # Twelve engines with 100,000 tokens a second and ten slots each; the offered prompts exceed the
+    # prefill capacity of all of them.
     [(0, 0, 5), (90, 0, 3), (90, 33, 4)],
 )
-def test_slots_for_prompts_that_nobody_can_read_keep_no_engine_from_reading(
-    read_slots, held, wanted
-):
+def test_prompts_beyond_the_prefill_capacity_take_no_engine_for_decode(read_slots, held, wanted):
     engines = make_engines(4, 8)
     engines[-1].own = OpenWork(0, held)
     change = plan_change(engines, {}, Demand(1_500_000, 100, read_slots))
     assert f"{wanted} wanted" in change.reason
 
 
-def test_engines_that_were_ordered_count_as_done_and_get_no_second_order():
+def test_engines_with_a_pending_order_count_as_done_and_get_no_second_one():
     engines = make_engines(2, 4)
     first = plan_change(engines, {}, Demand())
     assert first.role is Role.PREFILL
@@ -105,40 +112,40 @@
         (("p0", "p1"), Demand(100_000, 2), None),
     ],
 )
-def test_broken_engines_bring_no_capacity_but_are_not_replaced_at_once(broken, demand, role):
+def test_broken_engines_add_no_capacity_but_are_not_replaced_at_once(broken, demand, role):
     engines = make_engines(4, 2)
     change = plan_change(engines, {}, demand, broken)
     assert (change.role if change else None) is role
     assert change is None or change.engine.name not in broken
 
 
-def test_the_last_reading_engine_is_never_taken():
+def test_the_last_prefill_engine_keeps_its_role():
     engines = make_engines(1, 0)
     assert plan_change(engines, {}, Demand(10, 100)) is None
 
 
-def test_plain_instances_are_chosen_by_load_and_near_ones_first():
+def test_plain_instances_are_chosen_by_load_and_zone():
     near, far = make_instance("near", zone="a"), make_instance("far", zone="b")
     rng = random.Random(1)
-    assert pick_plain([far, near], "a", (), 0.0, rng) is near
+    assert pick_plain_instance([far, near], "a", (), 0.0, rng) is near
     near.own = OpenWork(0, 2)
-    assert pick_plain([far, near], "a", (), 0.0, rng) is far
+    assert pick_plain_instance([far, near], "a", (), 0.0, rng) is far
     far.refused_until = 1.0
-    assert pick_plain([far, near], "a", (), 0.0, rng) is near
-    assert pick_plain([far, near], "a", {"near"}, 0.0, rng) is far
-    assert pick_plain([], "a", (), 0.0, rng) is None
+    assert pick_plain_instance([far, near], "a", (), 0.0, rng) is near
+    assert pick_plain_instance([far, near], "a", {"near"}, 0.0, rng) is far
+    assert pick_plain_instance([], "a", (), 0.0, rng) is None
 
 
 @pytest.mark.parametrize(
     ("open_requests", "urgent", "found"),
     [(83, False, True), (85, False, False), (85, True, True), (90, True, False)],
 )
-def test_urgent_requests_get_slots_that_others_do_not(open_requests, urgent, found):
+def test_some_decode_slots_are_reserved_for_urgent_requests(open_requests, urgent, found):
     decoder = make_instance("d", slots=100, peers=OpenWork(0, open_requests))
-    assert (pick_decoder([decoder], "a", (), 0.0, urgent) is decoder) is found
+    assert (pick_decode_engine([decoder], "a", (), 0.0, urgent) is decoder) is found
 
 
-def test_a_prompt_goes_to_the_engine_of_its_shared_part_unless_another_is_sooner():
+def test_a_prompt_goes_to_the_engine_of_its_shared_part_unless_another_is_much_faster():
     readers = [make_instance(f"p{n}", Role.PREFILL) for n in range(4)]
     chosen = pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0)
     assert all(pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0) is chosen for _ in range(5))
@@ -148,14 +155,14 @@
     assert pick_prefill_engine([chosen], 9000, "part", (), 0.0, 0.1) is None
 
 
-def test_a_decoding_engine_reads_long_prompts_only_while_it_makes_few_tokens():
+def test_a_decode_engine_prefills_long_prompts_only_while_few_slots_are_in_use():
     decoder = make_instance("d", Role.DECODE)
     assert pick_prefill_engine([decoder], 9000, "part", (), 0.0, 1.0) is decoder
     decoder.peers = OpenWork(0, 1)
     assert pick_prefill_engine([decoder], 9000, "part", (), 0.0, 1.0) is None
 
 
-def test_an_engines_speed_is_learned_from_what_it_read():
+def test_the_prefill_rate_of_an_engine_is_learned_from_long_prompts():
     engine = make_instance("p", Role.PREFILL)
     for _ in range(60):
         engine.update_read_rate(9000, 0.03)
@@ -164,7 +171,7 @@
     assert engine.read_rate == pytest.approx(300_000, rel=0.05)
 
 
-def test_repeats_stay_under_the_promise_of_all_hosts_in_every_window():
+def test_repeats_stay_within_a_hosts_budget_in_every_window():
     budget = WindowedRetryBudget(0.2, 50, 10.0)
     budget.hosts = 10
     taken = []
@@ -179,7 +186,7 @@
     assert len(taken) > 0
 
 
-def test_a_rejected_arrival_that_was_not_asked_for_counts_too():
+def test_a_repeat_after_a_rejection_counts_against_the_budget():
     budget = WindowedRetryBudget(0.0, 4 / 0.7, 10.0)
     for _ in range(4):
         budget.note_repeat(0.0)
@@ -187,7 +194,7 @@
     assert budget.take(11.0)
 
 
-def test_changed_bounds_of_repeats_count_from_then_on():
+def test_changed_retry_limits_apply_at_once_and_unchanged_ones_keep_the_counts():
     budgets = RetryBudgets(share=0.0, extra=0.0, window=10.0)
     assert not budgets.find("s").take(0.0)
     budgets.change(0.0, 10.0, 10.0)
@@ -197,7 +204,7 @@
     assert budgets.find("s") is same
 
 
-def test_offered_work_is_an_average_that_fades_and_adds_up_over_hosts():
+def test_offered_work_is_a_decaying_average_summed_over_hosts():
     meter = DemandMeter()
     for step in range(2000):
         meter.note_arrival("s", "r", 100, step / 100)
@@ -210,7 +217,7 @@
     assert meter.total("s", 200.0).read_tokens < 1
 
 
-def test_peers_work_replaces_what_they_said_before_and_fades_with_their_silence():
+def test_a_peers_report_replaces_its_last_one_and_expires():
     fleet = Fleet()
     fleet.put(make_instance("i").record)
     fleet.note_peer("h", {"i": OpenWork(100, 2)}, 0.0)
@@ -244,7 +251,7 @@
     assert (route.prefix if route else None) == found
 
 
-def test_the_highest_priority_of_a_service_is_the_urgent_one():
+def test_only_the_highest_priority_of_a_service_is_urgent():
     low, high = make_route("/a/", priority=1), make_route("/b/", priority=0)
     table = RouteTable(Configuration(1, (low, high)))
     assert table.is_urgent(high, "s")
@@ -282,7 +289,7 @@
     run_queue(act)
 
 
-def test_a_waiter_that_leaves_as_it_is_served_gives_its_place_back():
+def test_a_waiter_that_is_cancelled_as_it_is_served_releases_its_slot():
     async def act(queue):
         room, released = [], []
         find = lambda: room.pop() if room else None  # noqa: E731
@@ -297,7 +304,7 @@
     run_queue(act)
 
 
-def test_a_waiter_is_told_when_its_time_is_over():
+def test_a_waiter_gets_none_when_its_time_is_over():
     async def act(queue):
         assert await queue.wait(lambda: None, lambda _: None, 0, 1, 0.01) is None
         assert len(queue) == 0
@@ -306,7 +313,7 @@
 
 
 class FakeStore:
-    """One object, with writes that fail as told."""
+    """A store of one object, with injected write failures."""
 
     def __init__(self):
         self.spec, self.revision, self.lose = None, StoreRevision(0, 0), ""
@@ -344,16 +351,16 @@
 DURATION = 0.05
 
 
-def keep(store, host):
-    keeper = DutyLeaseManager(store, "roles", host, 1, DURATION, skip_silently())
-    keeper._takeover_seconds = DURATION
-    return keeper
+def make_lease_manager(store, host):
+    manager = DutyLeaseManager(store, "roles", host, 1, DURATION, skip_silently())
+    manager._takeover_seconds = DURATION
+    return manager
 
 
 def test_one_host_holds_the_lease_and_tokens_rise_with_each_holder():
     async def act():
         store = FakeStore()
-        first, second = keep(store, "a"), keep(store, "b")
+        first, second = make_lease_manager(store, "a"), make_lease_manager(store, "b")
         assert await first.campaign()
         assert not await second.campaign()
         order, _ = await first.record("e1", "prefill")
@@ -370,10 +377,10 @@
     asyncio.run(act())
 
 
-def test_a_holder_that_writes_keeps_challengers_waiting():
+def test_a_holder_that_writes_keeps_its_lease():
     async def act():
         store = FakeStore()
-        first, second = keep(store, "a"), keep(store, "b")
+        first, second = make_lease_manager(store, "a"), make_lease_manager(store, "b")
         assert await first.campaign()
         for _ in range(4):
             assert not await second.campaign()
@@ -386,28 +393,28 @@
 
 
 @pytest.mark.parametrize(("lost", "held"), [("done", True), ("not done", False)])
-def test_a_write_without_an_answer_is_read_back(lost, held):
+def test_the_result_of_an_unanswered_write_is_read_back(lost, held):
     async def act():
         store = FakeStore()
-        keeper = keep(store, "a")
-        assert await keeper.campaign()
+        manager = make_lease_manager(store, "a")
+        assert await manager.campaign()
         store.lose = lost
         if held:
-            order, _ = await keeper.record("e1", "prefill")
+            order, _ = await manager.record("e1", "prefill")
             assert order.number == 1
         else:
             with pytest.raises(LeaseLostError):
-                await keeper.record("e1", "prefill")
+                await manager.record("e1", "prefill")
 
     asyncio.run(act())
 
 
-def test_an_order_may_leave_only_for_a_moment_after_it_was_written_down():
+def test_an_order_may_be_sent_only_shortly_after_it_was_recorded():
     async def act():
-        keeper = keep(FakeStore(), "a")
-        await keeper.campaign()
+        manager = make_lease_manager(FakeStore(), "a")
+        await manager.campaign()
         now = asyncio.get_running_loop().time()
-        _, until = await keeper.record("e1", "prefill")
+        _, until = await manager.record("e1", "prefill")
         assert 0 < until - now <= 0.6
 
     asyncio.run(act())
--- a/tests/cover/test_homes.py
+++ b/tests/cover/test_homes.py
@@ -1,8 +1,6 @@
-"""Prompts that share long parts are booked where these are kept, whoever calls.
+"""Prompts with long shared parts are booked in the part's home zone, wherever the caller is.
 
-On a site of 45 engines in three zones 20.7 of 54.3 M prompt tokens that were read in one day were
-shared parts read again ("54280044 prompt tokens read (20671031 of shared parts again)"): 8.9 M
-distinct shared tokens went round in each zone's memory of 6.6 M, while all engines hold 19.9 M.
+Otherwise each zone's engines would cache, evict and prefill the same parts.
 """
 
 import asyncio
@@ -32,7 +30,7 @@
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.prompt_cache import PromptPart
 from swifttrestle.platform.settings import read_host_settings
-from tests.cover.test_bookings import Network, settle
+from tests.cover.test_bookings import Network, run_pending_tasks
 from tests.cover.test_platform_adapter import GOOD
 
 ZONES = ("a", "b", "c")
@@ -58,7 +56,7 @@
         (make_parts(500, 100), {"b": 4}, ("b",)),
     ],
 )
-def test_only_a_long_shared_part_takes_a_prompt_from_its_callers_zone(parts, weights, homes):
+def test_only_a_long_shared_part_moves_a_prompt_from_its_callers_zone(parts, weights, homes):
     assert list_home_zones(parts, weights, PACE, "near") == homes
 
 
@@ -67,7 +65,7 @@
 
 
 @pytest.mark.parametrize("weights", [EVEN, {"a": 15, "b": 5, "c": 10}, {"a": 1, "b": 1}])
-def test_each_zone_is_home_to_its_share_of_the_parts(weights):
+def test_each_zone_is_the_home_zone_of_its_share_of_the_parts(weights):
     homes = count_homes(weights)
     for zone, weight in weights.items():
         assert homes[zone] / 6000 == pytest.approx(weight / sum(weights.values()), abs=0.03)
@@ -76,13 +74,13 @@
 @pytest.mark.parametrize(
     ("after", "moved"),
     [
-        # An engine less in one zone: its share of that zone's parts, and no other part.
+        # One engine less in a zone moves its share of that zone's parts and no other part.
         ({"a": 4, "b": 5, "c": 5}, 1 / 3 - 4 / 14),
         ({"b": 5, "c": 5}, 1 / 3),
         ({"a": 5, "b": 5, "c": 5, "d": 5}, 1 / 4),
     ],
 )
-def test_parts_move_only_from_and_to_the_zone_that_changed(after, moved):
+def test_parts_move_only_from_or_to_the_zone_that_changed(after, moved):
     parts = [f"part{n}" for n in range(6000)]
     before = {part: rank_zones(part, EVEN)[0] for part in parts}
     now = {part: rank_zones(part, after)[0] for part in parts}
@@ -91,7 +89,7 @@
     assert all("a" in (before[part], now[part]) or now[part] == "d" for part in changed)
 
 
-def test_a_zone_with_few_engines_or_without_hosts_is_nobodys_home():
+def test_a_zone_with_few_engines_or_without_hosts_is_no_home_zone():
     engines = [
         Instance(UpstreamRecord(f"{zone}{n}", "s", ("h", 1), zone, 8, False, Role.PREFILL))
         for zone, count in (("a", 4), ("b", 3), ("c", 6))
@@ -100,7 +98,7 @@
     assert count_engines_by_zone(engines, ("a", "b")) == {"a": 4}
 
 
-def test_homes_stay_in_the_region_of_the_host():
+def test_home_zones_are_in_the_region_of_the_host():
     settings = read_host_settings({**GOOD, "zone": "a", "zones": {"a": "r", "b": "r", "c": "q"}})
     assert [settings.is_in_same_region(zone) for zone in ("a", "b", "c", "unknown")] == [
         True, True, False, True,
@@ -110,15 +108,15 @@
 
 
 @pytest.mark.parametrize("zones", [["a"], {"a": 1}, "a"])
-def test_a_wrong_table_of_regions_is_told_by_its_name(zones):
+def test_an_invalid_table_of_regions_is_reported_by_its_name(zones):
     with pytest.raises(InvalidSettingError, match="zones"):
         read_host_settings({**GOOD, "zones": zones})
 
 
-def test_no_prompt_goes_to_a_home_in_another_region(monkeypatch):
+def test_no_prompt_is_booked_in_another_region(monkeypatch):
     async def act(network, members, hosts):
         for host in hosts:
-            host.booker._is_near = lambda zone: zone != "c"
+            host.booker._is_in_same_region = lambda zone: zone != "c"
         homes = set()
         for number in range(30):
             booking = await hosts[0].book(f"part{number}", longest_wait=0.0)
@@ -130,7 +128,7 @@
 
 
 class Host:
-    """One host's part in the bookings of a service with engines in three zones."""
+    """One host's booker for a service with engines in three zones."""
 
     def __init__(self, network, member, members):
         fleet = Fleet()
@@ -157,7 +155,7 @@
 
 def run_hosts(act, monkeypatch, answer_seconds=30.0):
     monkeypatch.setattr(scheduled_booking, "is_large_fleet", lambda _: True)
-    monkeypatch.setattr(scheduled_booking, "ANSWER_SECONDS", answer_seconds)
+    monkeypatch.setattr(scheduled_booking, "REPLY_TIMEOUT_SECONDS", answer_seconds)
 
     async def whole():
         network = Network()
@@ -184,7 +182,7 @@
     run_hosts(act, monkeypatch)
 
 
-def test_a_part_that_was_read_once_is_found_by_callers_of_all_zones(monkeypatch):
+def test_a_cached_part_is_used_by_callers_of_all_zones(monkeypatch):
     async def act(network, members, hosts):
         first = await hosts[0].book("part")
         assert first.tokens == 55_000
@@ -197,7 +195,7 @@
     run_hosts(act, monkeypatch)
 
 
-def test_where_the_homes_scheduler_is_silent_the_next_zones_books(monkeypatch):
+def test_the_next_zone_books_if_the_home_zones_scheduler_does_not_reply(monkeypatch):
     async def act(network, members, hosts):
         first, second = rank_zones("part", EVEN)[:2]
         silent = find_scheduler(members, "s", first)
@@ -210,7 +208,7 @@
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
 
-def test_where_both_schedulers_are_silent_the_host_books_by_itself(monkeypatch):
+def test_the_host_books_locally_if_neither_scheduler_replies(monkeypatch):
     async def act(network, members, hosts):
         first, second = rank_zones("part", EVEN)[:2]
         for zone in (first, second):
@@ -219,7 +217,7 @@
         booking = await host.book("part", longest_wait=0.0)
         assert booking.reference is None
         assert booking.reader.record.zone == host.member.zone
-        await settle()
+        await run_pending_tasks()
         asked = [message for message in network.sent if isinstance(message, BookingQuery)]
         assert len(asked) == 2
         assert asked[1].request.left < asked[0].request.left
@@ -227,24 +225,23 @@
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
 
-def test_schedulers_are_looked_for_again_only_among_other_members(monkeypatch):
-    # Each costs half a millisecond at 790 hosts, and a host asks 143 of them at the size to
-    # design for: five looks a second at each would take a third of a core.
-    looks = []
+def test_schedulers_are_cached_until_the_members_change(monkeypatch):
+    # The search is expensive in large fleets.
+    searched_groups = []
 
-    def look(members, service, group):
-        looks.append(group)
+    def search(members, service, group):
+        searched_groups.append(group)
         return find_scheduler(members, service, group)
 
-    monkeypatch.setattr(scheduled_booking, "find_scheduler", look)
+    monkeypatch.setattr(scheduled_booking, "find_scheduler", search)
 
     async def act(network, members, hosts):
         for number in range(60):
             await hosts[0].book(f"part{number}", longest_wait=0.0)
-        assert sorted(looks) == list(ZONES)
+        assert sorted(searched_groups) == list(ZONES)
         members.remove(next(m for m in members if m != hosts[0].member))
         await hosts[0].book("part0", longest_wait=0.0)
-        assert len(looks) == len(ZONES) + 1
+        assert len(searched_groups) == len(ZONES) + 1
 
     run_hosts(act, monkeypatch)
 
@@ -252,7 +249,7 @@
 @pytest.mark.parametrize(
     ("shape", "seconds", "story", "most"),
     [
-        # Bounds between what the two divisions reach: 0.27 and 0.10, 0.36 and 0.11 over 30 s.
+        # Each bound lies between the results of the two divisions.
         (SMALL, 30.0, Story("calm"), 0.15),
         (SMALL, 30.0, Story("a popular part", popular=0.2), 0.15),
         (SMALL, 30.0, Story("a zone lost", lost_zones=1), 0.24),
@@ -260,7 +257,7 @@
     ],
     ids=lambda value: getattr(value, "name", None),
 )
-def test_fewer_shared_tokens_are_read_again_than_with_a_division_by_callers(
+def test_fewer_shared_tokens_are_prefilled_again_than_with_a_division_by_callers_zone(
     shape, seconds, story, most
 ):
     by_caller = play(shape, story, ByCaller(), seconds=seconds)
--- a/tests/cover/test_policies.py
+++ b/tests/cover/test_policies.py
@@ -1,4 +1,4 @@
-"""The decisions: admission, routing, retries, ejection, acceptance, closings."""
+"""The policies: admission, routing, retries, ejection, configuration acceptance, closings."""
 
 import random
 
@@ -49,7 +49,7 @@
         (10, "normal", 60, 5, Decision.REFUSE),
     ],
 )
-def test_admission_goes_waits_or_refuses(inflight, priority, left, ahead, decision):
+def test_a_request_is_admitted_queued_or_refused(inflight, priority, left, ahead, decision):
     work = RequestEstimate(100, 10, priority)
     admission = DeadlineAdmission(0.2)
     judged = admission.decide([make_candidate(inflight=inflight)], work, left, ahead, 5)
@@ -58,7 +58,7 @@
         assert 1 <= judged.retry_after <= 30
 
 
-def test_routing_goes_where_the_prefix_is_unless_the_queue_is_longer():
+def test_routing_prefers_a_cached_prefix_unless_the_queue_is_longer():
     work = RequestEstimate(4000, 10)
     cached = make_candidate("cached", cached_tokens=3900)
     empty = make_candidate("empty")
@@ -73,7 +73,7 @@
     assert LeastPredicted().pick([old, new], RequestEstimate(4000, 1), random.Random(1)) is new
 
 
-def test_entries_that_see_one_old_report_do_not_all_choose_the_same():
+def test_entries_with_the_same_old_report_do_not_all_choose_the_same_engine():
     idle = [make_candidate(f"c{n}", inflight=n / 10, reported_inflight=n / 10) for n in range(10)]
     chosen = {
         LeastPredicted().pick(idle, RequestEstimate(10, 10), random.Random(n)).name
@@ -86,14 +86,14 @@
     assert len(chosen) >= 3
 
 
-def test_retries_stay_a_share_of_requests():
+def test_retries_are_limited_to_a_share_of_requests():
     budget = RetryBudget(0.1)
     for _ in range(200):
         budget.note_request(0.0)
     assert sum(budget.take(0.0) for _ in range(200)) == 20
 
 
-def test_no_more_than_the_cap_is_left_out_and_a_return_is_slow():
+def test_ejections_are_capped_and_the_ramp_up_is_gradual():
     ejector = Ejector(0.34, 10.0)
     group = [f"u{n}" for n in range(6)]
     for name in group:
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("order", [[2, 3], [3, 2], [2, 3, 2, 2], [2, 5, 4]])
-def test_the_highest_generation_wins_however_late_the_news_come(order):
+def test_the_highest_generation_wins_in_any_order(order):
     table = ClosingTable()
     for generation in order:
         table.merge({"e": generation})
@@ -151,7 +151,7 @@
     ],
     ids=["unknown model", "bad field", "model deleted", "version not listed"],
 )
-def test_a_bad_edit_leaves_the_accepted_resource_in_place(edited, said, kept):
+def test_an_invalid_edit_leaves_the_accepted_resource_in_place(edited, said, kept):
     accepted = decide_acceptance(GOOD, {}).accepted
     assert len(accepted) == 2
     verdict = decide_acceptance(edited, accepted)
@@ -159,7 +159,7 @@
     assert any(said in str(fault) for fault in verdict.faults)
 
 
-def test_good_edits_go_on_beside_a_bad_one():
+def test_valid_edits_are_accepted_beside_an_invalid_one():
     accepted = decide_acceptance(GOOD, {}).accepted
     edits = [
         *GOOD,
@@ -171,7 +171,7 @@
     assert [fault.resource for fault in verdict.faults] == ["Service/bad"]
 
 
-def test_shards_stay_under_a_megabyte_at_the_size_to_design_for():
+def test_shards_of_the_largest_supported_fleet_stay_under_the_limit():
     zones = [f"zone-{n}" for n in range(13)]
     upstreams = {
         f"Upstream/u{n}": Upstream(
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts engines are believed to keep, and what follows for a booking."""
+"""The model of engines' prompt caches, and how bookings use it."""
 
 import asyncio
 import random
@@ -35,14 +35,14 @@
         (PROMPT, PROMPT, 9000),
         ((SYSTEM, DOCUMENT), PROMPT, 6000),
         ((SYSTEM,), PROMPT, 2000),
-        # A part is of no use without those before it.
+        # A part cannot be used without those before it.
         ((DOCUMENT, OWN), PROMPT, 0),
         ((SYSTEM, OWN), PROMPT, 2000),
         (PROMPT, (SYSTEM, PromptPart("m/other", 10)), 2000),
         (PROMPT, (PromptPart("n/system", 2000),), 0),
     ],
 )
-def test_an_engine_keeps_a_part_where_it_keeps_all_before_it(sent, asked, kept):
+def test_a_part_counts_as_cached_only_with_all_parts_before_it(sent, asked, kept):
     cache = PromptCache()
     cache.note(sent, 100_000)
     assert cache.count(asked) == kept
@@ -51,7 +51,7 @@
     )
 
 
-def test_parts_that_were_not_used_for_longest_give_way_first():
+def test_least_recently_used_parts_are_evicted_first():
     cache = PromptCache()
     cache.note([SYSTEM, PromptPart("m/a", 4000)], 10_000)
     cache.note([SYSTEM, PromptPart("m/b", 4000)], 10_000)
@@ -59,14 +59,14 @@
     assert cache.count([SYSTEM, PromptPart("m/b", 4000)]) == 6000
 
 
-def test_a_part_that_is_sent_twice_fills_its_memory_once():
+def test_a_part_that_is_sent_several_times_takes_memory_once():
     cache = PromptCache()
     for _ in range(50):
         cache.note(PROMPT, 12_000)
     assert cache.count(PROMPT) == 9000
 
 
-def test_parts_are_forgotten_where_their_reading_failed():
+def test_parts_are_dropped_if_their_prefill_failed():
     cache = PromptCache()
     cache.note([SYSTEM], 100_000)
     unread = cache.list_unread(PROMPT)
@@ -75,7 +75,7 @@
     assert cache.count(PROMPT) == 2000
 
 
-def make_reader(name, open_tokens=0, kept=()):
+def make_prefill_engine(name, open_tokens=0, kept=()):
     record = UpstreamRecord(name, "s", ("127.0.0.1", 1), "a", 40, False, Role.PREFILL)
     engine = Instance(record, own=OpenWork(open_tokens, 1 if open_tokens else 0))
     engine.cache.note(kept, 100_000)
@@ -84,22 +84,22 @@
 
 @pytest.mark.parametrize(
     ("open_tokens", "expected"),
-    # 4,000 kept tokens are 40 ms of reading at 100 tokens a ms.
+    # 4,000 cached tokens save 40 ms at 100 tokens/ms.
     [(0, "keeper"), (1000, "keeper"), (30_000, "idle")],
 )
-def test_a_prompt_goes_where_it_is_read_soonest_with_what_is_kept(open_tokens, expected):
+def test_a_prompt_goes_to_the_engine_with_the_earliest_prefill(open_tokens, expected):
     readers = [
-        make_reader("keeper", open_tokens, (SYSTEM, DOCUMENT)),
-        make_reader("idle", 0, (SYSTEM,)),
+        make_prefill_engine("keeper", open_tokens, (SYSTEM, DOCUMENT)),
+        make_prefill_engine("idle", 0, (SYSTEM,)),
     ]
     chosen = pick_prefill_engine(readers, 9000, "document", (), 0.0, 1.0, PROMPT)
     assert chosen.name == expected
 
 
-def test_a_prompt_may_wait_longer_where_its_parts_are_kept_and_be_read_no_later():
-    busy = make_reader("keeper", 5000, (SYSTEM, DOCUMENT))
-    stranger = make_reader("stranger", 5000)
-    # 5,000 tokens are 50 ms: more than the wait allowed, less than with the 60 ms saved.
+def test_a_prompt_may_wait_longer_at_an_engine_that_caches_its_parts():
+    busy = make_prefill_engine("keeper", 5000, (SYSTEM, DOCUMENT))
+    stranger = make_prefill_engine("stranger", 5000)
+    # 5,000 tokens take 50 ms: more than the allowed wait, but less than with the 60 ms saved.
     assert pick_prefill_engine([busy], 9000, "document", (), 0.0, 0.01, PROMPT) is busy
     assert pick_prefill_engine([stranger], 9000, "document", (), 0.0, 0.01, PROMPT) is None
 
@@ -116,7 +116,7 @@
 REQUEST = BookingRequest("s", "a", 9000, "document", 0, True, 20.0, 0.0, 1.0, parts=PROMPT)
 
 
-def test_a_booking_counts_only_what_is_to_be_read_and_gives_just_that_back():
+def test_a_booking_counts_and_releases_only_the_tokens_to_prefill():
     async def run():
         parts, booker = make_booker()
         first = await booker.book(REQUEST)
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.BROKEN, Outcome.REFUSED, Outcome.GONE])
-def test_a_prompt_that_was_not_read_is_not_taken_for_kept(outcome):
+def test_a_prompt_whose_prefill_failed_does_not_count_as_cached(outcome):
     async def run():
         _, booker = make_booker()
         booking = await booker.book(REQUEST)
@@ -145,20 +145,20 @@
     asyncio.run(run())
 
 
-def test_peers_are_told_once_of_what_engines_were_sent():
+def test_prompts_sent_to_engines_are_reported_to_peers_once():
     async def run():
         parts, booker = make_booker()
         booking = await booker.book(REQUEST)
         assert [item.engine for item in parts.sent_prompts] == ["p"]
         booker.end(booking, Stage.DECODE, Outcome.DONE, 0.1)
-        # The decoding engine has fetched it by then.
+        # The decode engine has fetched it by then.
         assert [item.engine for item in parts.sent_prompts] == ["p", "d"]
         assert all(item.parts == PROMPT for item in parts.sent_prompts)
 
     asyncio.run(run())
 
 
-def test_prompts_survive_their_datagrams():
+def test_prompts_are_unchanged_after_packing_and_unpacking():
     sent = (SentPrompt("p", PROMPT), SentPrompt("d", (), read=True))
     report = PeerReport(
         "h", "10.0.0.1", "a", 10.0, 5, 7, False, False, False, 0.0, {}, {}, {}, (), sent
@@ -180,7 +180,7 @@
     assert unpack_report(pack_report(report)).prompts == sent
 
 
-def test_the_share_of_prompts_that_is_read_is_learned_and_offered_work_stays_whole():
+def test_the_share_of_uncached_tokens_is_learned_without_changing_offered_work():
     meter = DemandMeter()
     for _ in range(500):
         meter.note_read("s", 9000, 4500)
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What is held against a request, for how long, and what hosts tell each other of it."""
+"""Quarantine of requests that crash upstreams: duration, request names, messages, owners."""
 
 import contextlib
 import random
@@ -9,17 +9,17 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.policy.hash_ring import KEEPERS, HashRing
+from swifttrestle.internal.policy.hash_ring import OWNERS_PER_REQUEST, HashRing
 from swifttrestle.internal.policy.quarantine import (
     CRASH_RETENTION_SECONDS,
     CRASHES_TO_QUARANTINE,
     FIRST_QUARANTINE_SECONDS,
-    LONG_SECONDS,
-    MOST_ACQUITTALS,
-    MOST_CASES,
-    SPREAD,
+    LONG_QUARANTINE_SECONDS,
+    MAX_CLEARANCES,
+    MAX_REQUESTS,
+    RELEASE_JITTER_SHARE,
     Quarantine,
-    find_term,
+    find_period,
     is_quarantined,
 )
 from swifttrestle.internal.protocol.gossip import MAX_DATAGRAM_BYTES
@@ -63,27 +63,30 @@
         ([], 0),
         ([0.0], 0),
         ([0.0, 0.1], FIRST_QUARANTINE_SECONDS),
-        # Copies that were under way, or went out from a host that did not know yet.
+        # Attempts in flight, or from a host that did not know of the quarantine yet.
         ([0.0, 0.1, 0.2, 0.6], FIRST_QUARANTINE_SECONDS),
-        # The copy that was tried next.
-        ([0.0, 0.1, 0.1 + FIRST_QUARANTINE_SECONDS], LONG_SECONDS),
-        ([0.0, 0.1, 3.0, 0.2 + FIRST_QUARANTINE_SECONDS], LONG_SECONDS),
-        ([0.0, 0.1, 0.2 + FIRST_QUARANTINE_SECONDS, 0.3 + FIRST_QUARANTINE_SECONDS], LONG_SECONDS),
+        # The trial after the quarantine.
+        ([0.0, 0.1, 0.1 + FIRST_QUARANTINE_SECONDS], LONG_QUARANTINE_SECONDS),
+        ([0.0, 0.1, 3.0, 0.2 + FIRST_QUARANTINE_SECONDS], LONG_QUARANTINE_SECONDS),
+        (
+            [0.0, 0.1, 0.2 + FIRST_QUARANTINE_SECONDS, 0.3 + FIRST_QUARANTINE_SECONDS],
+            LONG_QUARANTINE_SECONDS,
+        ),
     ],
 )
-def test_a_request_is_kept_back_longer_where_the_copy_that_was_tried_crashed_too(times, seconds):
+def test_a_quarantine_is_longer_after_a_trial_that_crashed_an_upstream(times, seconds):
     quarantine = make_quarantine()
     crashes = [Crash(f"i-{number}", NOW + at) for number, at in enumerate(times)]
     quarantine.note(make_name(), reversed(crashes), NOW + 10)
-    term = find_term(crashes)
-    assert (term.seconds if term else 0) == seconds
-    began = term.since if term else NOW
+    period = find_period(crashes)
+    assert (period.seconds if period else 0) == seconds
+    began = period.started_at if period else NOW
     assert quarantine.find_wait(make_name(), began) == pytest.approx(seconds)
     assert quarantine.find_wait(make_name(), began + seconds) == 0
     assert len(quarantine.list_quarantined()) == (len(times) >= CRASHES_TO_QUARANTINE)
 
 
-def test_a_crash_that_is_told_twice_counts_once():
+def test_a_crash_that_is_reported_twice_counts_once():
     quarantine = make_quarantine(1)
     assert not quarantine.note(make_name(), make_crashes(1), NOW)
     later = NOW + 1.9
@@ -92,7 +95,7 @@
     assert quarantine.note(make_name(), make_crashes(2), NOW)
 
 
-def test_a_crash_older_than_those_that_are_kept_is_no_news():
+def test_a_crash_older_than_those_remembered_is_not_new():
     quarantine = make_quarantine()
     crashes = [Crash(f"i-{number}", NOW - 10 * number) for number in range(6)]
     assert quarantine.note(make_name(), crashes, NOW)
@@ -102,42 +105,43 @@
     ]  # fmt: skip
 
 
-def test_a_start_ends_once_however_late_that_is_told():
+def test_a_late_report_of_a_known_crash_does_not_count_again():
     quarantine = make_quarantine(2)
     for later in (NOW + 2, NOW + 60):
         assert not quarantine.note(make_name(), make_crashes(2, later), later)
     assert quarantine.find_wait(make_name(), NOW) == FIRST_QUARANTINE_SECONDS
 
 
-def test_the_next_crash_after_a_long_quarantine_is_one_too_many():
+def test_the_next_crash_after_a_long_quarantine_starts_another_one():
     quarantine = make_quarantine(2)
     tried = NOW + FIRST_QUARANTINE_SECONDS
     quarantine.note(make_name(), [Crash("i-8", tried)], tried)
-    later = tried + LONG_SECONDS * (1 + SPREAD)
+    later = tried + LONG_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE)
     quarantine.expire(later)
     quarantine.note(make_name(), [Crash("i-9", later)], later)
-    assert quarantine.find_wait(make_name(), later) == LONG_SECONDS
+    assert quarantine.find_wait(make_name(), later) == LONG_QUARANTINE_SECONDS
 
 
-def test_hosts_let_a_request_go_at_different_moments():
+def test_hosts_release_a_request_at_different_times():
     waits = {make_quarantine(2, late=share).find_wait(make_name(), NOW) for share in (0, 0.5, 1)}
     assert sorted(waits) == [
-        FIRST_QUARANTINE_SECONDS * factor for factor in (1, 1 + SPREAD / 2, 1 + SPREAD)
+        FIRST_QUARANTINE_SECONDS * factor
+        for factor in (1, 1 + RELEASE_JITTER_SHARE / 2, 1 + RELEASE_JITTER_SHARE)
     ]
 
 
 @pytest.mark.parametrize("crashes", [1, 2, 3])
-def test_its_own_answer_acquits_a_request_of_all_crashes_before_it(crashes):
+def test_an_answer_clears_all_crashes_before_it(crashes):
     quarantine = make_quarantine(crashes)
     assert quarantine.clear_crashes(make_name(), NOW + 0.1)
     assert quarantine.find_wait(make_name(), NOW + 0.1) == 0
     assert (len(quarantine), quarantine.list_quarantined()) == (0, [])
-    # Words of those crashes may still come in from others.
+    # Reports of those crashes may still arrive.
     assert not quarantine.note(make_name(), make_crashes(4, NOW + 0.2), NOW + 0.2)
     assert quarantine.note(make_name(), [Crash("i-7", NOW + 1)], NOW + 1)
 
 
-def test_an_answer_does_not_acquit_of_a_crash_after_it():
+def test_an_answer_does_not_clear_a_crash_after_it():
     quarantine = make_quarantine()
     quarantine.note(make_name(), [Crash("a", NOW), Crash("b", NOW + 2)], NOW + 2)
     assert quarantine.clear_crashes(make_name(), NOW + 1)
@@ -145,23 +149,23 @@
     assert quarantine.list_quarantined() == []
 
 
-def test_what_is_long_past_is_forgotten():
+def test_crashes_are_forgotten_after_the_retention_time():
     quarantine = make_quarantine(3)
     quarantine.expire(NOW + CRASH_RETENTION_SECONDS)
     assert (len(quarantine), quarantine.knows_head(make_name().head)) == (0, False)
     assert not quarantine.note(make_name(), make_crashes(3), NOW + CRASH_RETENTION_SECONDS)
 
 
-def test_a_caller_that_sends_ever_new_deadly_requests_fills_no_host():
+def test_memory_is_bounded_however_many_requests_crash_upstreams():
     quarantine = make_quarantine(3, make_name(10**6))
-    for number in range(2 * MOST_CASES):
+    for number in range(2 * MAX_REQUESTS):
         quarantine.note(make_name(number, head=number % 7), make_crashes(1), NOW + number)
         quarantine.clear_crashes(make_name(number, head=9), NOW)
-    assert len(quarantine) <= MOST_CASES
-    assert len(quarantine._acquitted) <= MOST_ACQUITTALS
-    # Those under which the most upstreams crashed are kept.
+    assert len(quarantine) <= MAX_REQUESTS
+    assert len(quarantine._answered_at) <= MAX_CLEARANCES
+    # Requests with the most crashes are kept.
     assert quarantine.find_wait(make_name(10**6), NOW) == FIRST_QUARANTINE_SECONDS
-    assert sum(quarantine._heads.values()) == len(quarantine)
+    assert sum(quarantine._head_counts.values()) == len(quarantine)
 
 
 # The name of a request.
@@ -177,7 +181,7 @@
     return fingerprint_request(head, workspace, body)
 
 
-def test_the_same_request_has_the_same_name_however_its_body_came():
+def test_the_name_does_not_depend_on_the_framing_of_the_body():
     other = RequestHead(
         b"POST", b"/a/b?c", ((b"X-Request-Id", b"2"), (b"host", b"SITE.example")), Framing.CHUNKED
     )
@@ -196,11 +200,11 @@
     ],
     ids=["workspace", "body", "no body", "method", "path", "host"],
 )
-def test_other_requests_have_other_names(name):
+def test_different_requests_have_different_names(name):
     assert name != name_of()
 
 
-def test_a_request_has_no_name_until_its_body_is_whole():
+def test_a_request_has_no_name_until_its_body_is_complete():
     body = Body()
     body.feed(b"bo")
     assert fingerprint_request(HEAD, "", body) is None
@@ -208,13 +212,13 @@
     assert fingerprint_request(HEAD, "", body) is None
 
 
-def test_parts_of_a_head_cannot_be_taken_for_each_other():
+def test_heads_whose_parts_join_to_the_same_bytes_have_different_names():
     one = RequestHead(b"GET", b"b", ((b"host", b"a"),), Framing.NONE)
     other = RequestHead(b"GET", b"", ((b"host", b"ab"),), Framing.NONE)
     assert fingerprint_head(one, "c") != fingerprint_head(other, "c")
 
 
-# What hosts tell each other.
+# Messages between hosts.
 
 CASES = st.builds(
     CrashRecord,
@@ -228,7 +232,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(CASES, max_size=40), st.booleans())
-def test_news_come_out_as_they_went_in(records, wants_all):
+def test_a_message_is_unchanged_after_packing_and_unpacking(records, wants_all):
     news = CrashUpdate(tuple(records), (Clearance(make_name(3), NOW - 4),), wants_all)
     read = unpack_crash_update(pack_crash_update(news, NOW), NOW + 100)
     assert read.wants_all == wants_all
@@ -238,7 +242,7 @@
     assert read.clearances[0].at == pytest.approx(NOW + 96)
 
 
-def test_news_of_many_cases_fit_into_datagrams():
+def test_many_records_are_split_into_datagrams_within_the_size_limit():
     records = [
         CrashRecord(make_name(number), tuple(Crash(f"i-{n:010x}@1764720000000", NOW - n)
                                       for n in range(4)))
@@ -249,7 +253,7 @@
     assert max(len(pack_crash_update(part, NOW)) for part in parts) <= MAX_DATAGRAM_BYTES
 
 
-STRAY = [
+MALFORMED = [
     b"",
     b"\xc1",
     msgpack.packb(7),
@@ -267,20 +271,20 @@
 ]
 
 
-@pytest.mark.parametrize("data", STRAY)
-def test_a_stray_datagram_is_refused_with_a_typed_error(data):
+@pytest.mark.parametrize("data", MALFORMED)
+def test_a_malformed_datagram_raises_a_frame_error(data):
     with pytest.raises(FrameError):
         unpack_crash_update(data, NOW)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_no_bytes_do_more_than_raise_a_typed_error(data):
+def test_arbitrary_bytes_raise_nothing_but_a_frame_error(data):
     with contextlib.suppress(FrameError):
         unpack_crash_update(data, NOW)
 
 
-# Who keeps a request's case.
+# The owners of a request.
 
 
 def make_members(count):
@@ -289,28 +293,28 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 2, 17, 195, 790])
-def test_every_host_finds_the_same_keepers(hosts):
+def test_every_host_finds_the_same_owners(hosts):
     members = make_members(hosts)
     shuffled = random.Random(1).sample(members, len(members))
     for number in range(50):
         name = name_of(chunks=(str(number).encode(),))
-        keepers = HashRing(members).find(name)
-        assert keepers == HashRing(shuffled).find(name)
-        assert len(set(keepers)) == min(KEEPERS, hosts)
+        owners = HashRing(members).find(name)
+        assert owners == HashRing(shuffled).find(name)
+        assert len(set(owners)) == min(OWNERS_PER_REQUEST, hosts)
 
 
-def test_nobody_keeps_anything_without_members():
+def test_there_are_no_owners_without_members():
     assert HashRing(()).find(make_name()) == []
 
 
-def test_a_keeper_that_is_lost_leaves_the_other_one():
+def test_the_second_owner_becomes_the_first_without_that():
     members = make_members(195)
     name = name_of()
     first, second = HashRing(members).find(name)
     assert HashRing([item for item in members if item != first]).find(name)[0] == second
 
 
-def test_quarantined_is_what_crashed_upstreams_often_enough():
+def test_a_request_is_quarantined_from_a_number_of_crashes_on():
     assert not is_quarantined(
         CrashRecord(make_name(), tuple(make_crashes(CRASHES_TO_QUARANTINE - 1)))
     )
--- a/tests/cover/test_role_delay.py
+++ b/tests/cover/test_role_delay.py
@@ -1,4 +1,4 @@
-"""How long a change of roles must be wanted before it is ordered."""
+"""The delay before a wanted role change is ordered."""
 
 import pytest
 
@@ -29,21 +29,21 @@
         ([(0.0, READ)], False),
         ([(0.0, READ), (2.9, READ)], False),
         ([(0.0, READ), (3.0, READ)], True),
-        # A swing that is over in between starts anew.
+        # An interruption restarts the delay.
         ([(0.0, READ), (1.5, None), (3.0, READ)], False),
         ([(0.0, READ), (1.5, DECODE), (3.0, READ)], False),
         ([(0.0, READ), (1.5, DECODE), (4.5, DECODE)], True),
         ([(0.0, URGENT)], True),
     ],
 )
-def test_a_change_is_ordered_once_it_has_been_wanted_for_as_long_as_it_takes(looks, allowed):
+def test_a_change_is_ordered_once_it_has_been_wanted_for_long_enough(looks, allowed):
     delay = RoleChangeDelay()
     found = [delay.allows("s", change, SECONDS, at) for at, change in looks]
     assert found[-1] is allowed
     assert not any(found[:-1])
 
 
-def test_the_engines_of_one_service_do_not_hold_those_of_another_up():
+def test_services_are_delayed_independently():
     delay = RoleChangeDelay()
     delay.allows("s", READ, SECONDS, 0.0)
     assert not delay.allows("t", READ, SECONDS, 3.0)
@@ -53,14 +53,14 @@
 @pytest.mark.parametrize(
     ("roles", "demand", "urgent"),
     [
-        # Nothing is known yet: the first split is ordered at once.
+        # No load is known: the first split is ordered at once.
         ("dddddd", Demand(), True),
-        # One engine that makes tokens may be lost at any moment.
+        # A single decode engine does not tolerate a loss.
         ("prrrrd", Demand(100_000.0, 10.0), True),
         ("rrrrdd", Demand(50_000.0, 150.0), False),
     ],
 )
-def test_a_split_that_cannot_wait_is_urgent(roles, demand, urgent):
+def test_the_first_split_and_one_with_too_few_decode_engines_are_urgent(roles, demand, urgent):
     engines = [
         make_engine(f"e{n}", Role.DECODE if role == "d" else Role.PREFILL)
         for n, role in enumerate(roles)
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -1,4 +1,4 @@
-"""How long requests wait for engines, and which of them are refused at once."""
+"""How long requests wait for engines, and which are refused at once."""
 
 import asyncio
 import math
@@ -9,10 +9,10 @@
 
 from swifttrestle.internal.forward.booking import LocalBooker
 from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
-from swifttrestle.internal.forward.turns import TurnPredictor
+from swifttrestle.internal.forward.wait_prediction import WaitPredictor
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.placement import pick_prefill_engine
-from swifttrestle.internal.policy.waiting import Backlog, find_patience, predict_late_turn
+from swifttrestle.internal.policy.waiting import Backlog, find_caller_timeout, predict_late_prefill
 from swifttrestle.internal.protocol.bookings import BookingQuery, pack_message, unpack_message
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity
 from swifttrestle.internal.state.declared import RetrySafety, Role, Route, Target, UpstreamRecord
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "patience"),
+    ("changes", "expected"),
     [
         ({}, 2.0),
         ({"objective": 0.6}, 2.4),
@@ -33,8 +33,8 @@
         ({"streaming": False}, 6.0),
     ],
 )
-def test_callers_wait_as_their_protocol_says(changes, patience):
-    assert find_patience(replace(ROUTE, **changes)) == pytest.approx(patience)
+def test_the_callers_timeout_follows_the_callers_protocol(changes, expected):
+    assert find_caller_timeout(replace(ROUTE, **changes)) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize(
@@ -46,15 +46,15 @@
         (Backlog(1000, 1000, 1000, 1.0), math.inf),
         (Backlog(1000, 1000, 3000, 1.0), math.inf),
         (Backlog(1000, 0, 0, 1.0), math.inf),
-        # What engines have taken is read by all of them, whatever the queue's share.
+        # Work that is assigned already is prefilled by all engines, whatever the queue's share.
         (Backlog(1000, 1000, 0, 0.25, open=2000), 6.0),
     ],
 )
-def test_late_requests_get_what_the_others_leave(backlog, seconds):
-    assert predict_late_turn(backlog) == pytest.approx(seconds)
+def test_late_requests_get_the_remaining_capacity(backlog, seconds):
+    assert predict_late_prefill(backlog) == pytest.approx(seconds)
 
 
-def make_reader(name, wait=0.0):
+def make_prefill_engine(name, wait=0.0):
     record = UpstreamRecord(name, "s", (name, 1), "a", 40, False, Role.PREFILL)
     engine = Instance(record)
     engine.own = OpenWork(int(wait * engine.effective_read_rate), 1 if wait else 0)
@@ -64,25 +64,25 @@
 @pytest.mark.parametrize(
     ("wait", "tokens", "latest", "found"),
     [
-        # 20,000 tokens are read in 0.2 s.
+        # 20,000 tokens take 0.2 s to prefill.
         (0.0, 20_000, 0.3, True),
         (0.2, 20_000, 0.3, False),
         (0.2, 20_000, math.inf, True),
-        # It can be in time nowhere, so the wait alone decides.
+        # No engine can be in time, so only the wait decides.
         (0.2, 40_000, 0.3, True),
         (0.6, 40_000, 0.3, False),
     ],
 )
-def test_a_prompt_goes_where_it_can_be_in_time(wait, tokens, latest, found):
-    readers = [make_reader("p", wait)]
+def test_a_prompt_goes_to_an_engine_that_can_be_in_time(wait, tokens, latest, found):
+    readers = [make_prefill_engine("p", wait)]
     chosen = pick_prefill_engine(readers, tokens, "part", (), 0.0, 0.5, latest=latest)
     assert (chosen is not None) is found
 
 
-# Two seconds of reading at the pace that engines count with until it is measured: times so long
-# that a pause of the test's own machine changes nothing.
+# Two seconds of prefill at the default rate: long enough that delays of the test machine do not
+# matter.
 REQUEST = BookingRequest(
-    "s", "a", 200_000, "part", 0, True, 60.0, 0.0, 30.0, patience=50.0, latest_read=30.0
+    "s", "a", 200_000, "part", 0, True, 60.0, 0.0, 30.0, max_wait=50.0, latest_read=30.0
 )
 
 
@@ -92,14 +92,14 @@
         for name, role in (("p", Role.PREFILL), ("d", Role.DECODE)):
             fleet.put(UpstreamRecord(name, "s", (name, 1), "a", 40, False, role))
         parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
-        # So many streams that it reads no long prompt itself.
+        # Has too many open streams to prefill long prompts itself.
         fleet.instances["d"].own = OpenWork(0, 30)
         await act(parts, LocalBooker(parts), fleet.instances["p"])
 
     asyncio.run(whole())
 
 
-async def settle():
+async def run_pending_tasks():
     for _ in range(5):
         await asyncio.sleep(0)
 
@@ -108,12 +108,12 @@
     async def act(parts, booker, reader):
         reader.own = OpenWork(4_000_000, 1)
         late = asyncio.ensure_future(booker.book(REQUEST))
-        await settle()
+        await run_pending_tasks()
         assert not late.done()
-        # 20 s before it would do for a request in time, not for one that takes what is left.
+        # A wait of 20 s is short enough for a request in time, but not for a late one.
         reader.own = OpenWork(2_000_000, 1)
         booker.serve_queues()
-        await settle()
+        await run_pending_tasks()
         assert not late.done()
         reader.own = OpenWork()
         booker.serve_queues()
@@ -122,13 +122,13 @@
     run_booker(act)
 
 
-def test_requests_that_can_be_in_time_go_before_late_ones():
+def test_requests_in_time_go_before_late_ones():
     async def act(parts, booker, reader):
         reader.own = OpenWork(4_000_000, 1)
         late = asyncio.ensure_future(booker.book(REQUEST))
-        await settle()
+        await run_pending_tasks()
         in_time = asyncio.ensure_future(booker.book(replace(REQUEST, longest_wait=40.0)))
-        await settle()
+        await run_pending_tasks()
         reader.own = OpenWork()
         booker.serve_queues()
         assert isinstance(await in_time, Booking)
@@ -139,15 +139,15 @@
 
 
 @pytest.mark.parametrize(("offered", "refused"), [(0.5, False), (1.0, True), (3.0, True)])
-def test_a_late_request_is_refused_at_once_where_the_others_leave_nothing(offered, refused):
+def test_a_late_request_is_refused_at_once_if_no_capacity_remains(offered, refused):
     async def act(parts, booker, reader):
         reader.own = OpenWork(1_500_000, 1)
         now = asyncio.get_running_loop().time()
-        # Offered work is an average over four seconds.
+        # Offered work is averaged over four seconds.
         parts.demand.note_arrival("s", "r", int(offered * reader.effective_read_rate * 4), now)
         request = replace(REQUEST, longest_read_wait=10.0, latest_read=10.0)
         asked = asyncio.ensure_future(booker.book(request))
-        await settle()
+        await run_pending_tasks()
         assert asked.done() is refused
         if refused:
             assert isinstance(asked.result(), NoCapacity)
@@ -157,7 +157,7 @@
     run_booker(act)
 
 
-def test_the_patience_of_a_request_survives_its_datagram():
+def test_the_times_of_a_request_are_unchanged_after_packing_and_unpacking():
     for request in (REQUEST, replace(REQUEST, latest_read=math.inf)):
         assert unpack_message(pack_message("h", BookingQuery(1, request))) == (
             "h",
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize(("hosts", "share"), [(1, 1.0), (9, 1 / 9), (65, 0.5)])
-def test_a_queue_has_its_hosts_share_of_the_engines_or_a_schedulers(hosts, share):
+def test_a_queue_has_a_hosts_share_of_the_engines_or_a_schedulers(hosts, share):
     parts = GatewayState(
         "a", Fleet(), RetryBudgets(0.2, 10, 10, hosts=hosts), Metrics(), random.Random(1)
     )
@@ -175,4 +175,4 @@
         for zone in "ab"
         for n in range(5)
     ]
-    assert TurnPredictor(parts)._find_share(REQUEST, readers) == pytest.approx(share)
+    assert WaitPredictor(parts)._find_capacity_share(REQUEST, readers) == pytest.approx(share)
