--- a/tests/hosted/test_homes.py
+++ b/tests/hosted/test_homes.py
@@ -1,4 +1,4 @@
-"""Prompts that share a long part, on gateways of three zones: booked where the part is kept."""
+"""Prompts that share a long part are booked in its home zone, by gateways of three zones."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(autouse=True)
-def large(monkeypatch):
+def make_fleet_large(monkeypatch):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 3)
 
 
@@ -43,7 +43,7 @@
 
 
 def find_zones(site, requests):
-    """Return the zones of all engines that met one of these requests."""
+    """Return the zones of all engines that received one of these requests."""
     return {
         upstream.zone
         for upstream in site.upstreams.values()
@@ -53,7 +53,7 @@
 
 
 @on_site(gateways=0, engines=(), plain=1)
-async def test_callers_of_all_zones_meet_the_engines_that_keep_a_part(site):
+async def test_callers_of_all_zones_reach_the_engines_that_cache_a_part(site):
     await build_zones(site)
     for part in ("p0", "p1", "p2", "p3"):
         requests = []
@@ -66,7 +66,7 @@
 
 
 @on_site(gateways=0, engines=(), plain=1)
-async def test_prompts_of_a_home_are_served_when_its_scheduler_and_then_its_zone_are_gone(site):
+async def test_prompts_are_served_without_their_home_zones_scheduler_and_engines(site):
     await build_zones(site)
     first, second, third = rank_zones("m/p", WEIGHTS)
     name = f"{third}-0"
--- a/tests/hosted/test_innocents.py
+++ b/tests/hosted/test_innocents.py
@@ -1,4 +1,4 @@
-"""Requests that ran beside a deadly one, and upstreams that break without having crashed."""
+"""No quarantine for requests that merely ran beside a crashing one, or failed without a crash."""
 
 import asyncio
 import functools
@@ -17,7 +17,7 @@
     ENGINES,
     HOSTS,
     LATER_START_MS,
-    send_again_and_again,
+    send_repeatedly,
 )
 from tests.hosted.test_starts import tell_starts
 
@@ -32,23 +32,22 @@
     return [len(find_guard(site, name).quarantine.list_quarantined()) for name in site.gateways]
 
 
-async def find_busy(site, request_id):
+async def find_running_upstream(site, request_id):
     """Return the upstream that runs a request, as soon as one does."""
     return await wait_until(
         lambda: next((u for u in site.upstreams.values() if u.runs.get(request_id)), None), "run"
     )
 
 
-def is_leaving(site, upstream):
-    """Return whether a host knows that an upstream leaves."""
+def is_draining(site, upstream):
+    """Return whether a host knows that an upstream is draining."""
     return site.gateways["g0"].gateway._fleet.find_start(upstream.instance).leaving
 
 
 @pytest.mark.parametrize(("path", "headers"), [("/card/a", {}), ("/verdict/a", STREAM)])
 @on_site(gateways=3, engines=ENGINES, plain=8)
-async def test_a_popular_request_beside_a_deadly_one_goes_on_being_served(site, path, headers):
-    # The same call comes all the time, so that it is open at each upstream that crashes. What
-    # crashes each upstream never gets an answer; this one does, and each answer acquits it.
+async def test_a_popular_request_beside_one_that_crashes_upstreams_is_served(site, path, headers):
+    # It is open at each upstream that crashes, but its answers elsewhere clear it.
     await tell_starts(site)
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
     for upstream in site.upstreams.values():
@@ -63,7 +62,7 @@
             number += 1
 
     callers = [asyncio.ensure_future(call_all_the_time(number)) for number in range(12)]
-    await send_again_and_again(site, path, DEADLY, headers, attempts=6)
+    await send_repeatedly(site, path, DEADLY, headers, attempts=6)
     ended.set()
     await asyncio.gather(*callers)
     await wait_until(lambda: not site.count_away(), "all upstreams back")
@@ -75,27 +74,27 @@
 
 @pytest.mark.parametrize("step", ["reset", "reset-after", "unsigned", "crossed"])
 @on_site(gateways=1, plain=3)
-async def test_upstreams_that_break_requests_and_live_count_against_no_request(site, step):
+async def test_failures_at_a_live_upstream_do_not_count_as_crashes(site, step):
     await tell_starts(site)
     script(site, "s", *[step] * 8)
     for number in range(4):
         await ask(address_of(site), "/card/a", f"r{number}", body=b"same")
     guard = find_guard(site)
-    await guard.watch.finish_looks()
+    await guard.detector.wait_for_probes()
     assert len(guard.quarantine) == 0
     answer = await ask(address_of(site), "/card/a", "last", body=b"same")
     assert (answer.status, answer.whole) == (200, True)
 
 
 @on_site(gateways=1, plain=1)
-async def test_what_broke_off_at_a_living_upstream_is_not_blamed_for_its_later_crash(site):
+async def test_a_failure_at_a_live_upstream_does_not_count_for_its_later_crash(site):
     await tell_starts(site)
     script(site, "s", "reset-after")
     await ask(address_of(site), "/goal/a", "early", body=b"early")
-    await find_guard(site).watch.finish_looks()
+    await find_guard(site).detector.wait_for_probes()
     site.upstreams["s0"].hold.clear()
     asked = asyncio.ensure_future(ask(address_of(site), "/goal/a", "late", body=b"late"))
-    await find_busy(site, "late")
+    await find_running_upstream(site, "late")
     await site.stop_upstream(site.upstreams["s0"])
     await asked
     await wait_until(lambda: len(find_guard(site).quarantine), "the crash")
@@ -103,7 +102,7 @@
 
 
 @on_site(gateways=1, plain=4)
-async def test_an_upstream_that_leaves_and_cuts_what_is_open_counts_against_no_request(site):
+async def test_a_draining_upstream_that_cuts_open_requests_does_not_count_as_a_crash(site):
     await tell_starts(site)
     for number in range(2):
         for upstream in site.upstreams.values():
@@ -111,25 +110,25 @@
         asked = asyncio.ensure_future(
             ask(address_of(site), "/goal/a", f"l{number}", body=b"same", X_Deadline_Ms="9000")
         )
-        busy = await find_busy(site, f"l{number}")
+        busy = await find_running_upstream(site, f"l{number}")
         site.list_upstream(busy, "draining")
-        await wait_until(functools.partial(is_leaving, site, busy), "word of leaving")
+        await wait_until(functools.partial(is_draining, site, busy), "draining known")
         await site.stop_upstream(busy)
         assert (await asked).status in (0, 502)
         site.unlist_upstream(busy)
     guard = find_guard(site)
-    await guard.watch.finish_looks()
+    await guard.detector.wait_for_probes()
     assert len(guard.quarantine) == 0
 
 
 @on_site(gateways=1, plain=4)
-async def test_a_request_that_its_caller_called_off_has_nothing_held_against_it(site):
+async def test_a_request_that_its_caller_cancelled_does_not_count_as_open_at_a_crash(site):
     await tell_starts(site)
     for upstream in site.upstreams.values():
         upstream.hold.clear()
     caller = await RawCaller.connect(address_of(site))
     caller.send(write_request("/card/a", "c1", body=b"same"))
-    busy = await find_busy(site, "c1")
+    busy = await find_running_upstream(site, "c1")
     caller.reset()
     await wait_until(lambda: "c1" in busy.cancelled, "end of the work")
     await site.stop_upstream(busy)
@@ -140,8 +139,8 @@
 
 
 @on_site(gateways=3)
-async def test_a_request_that_is_answered_after_all_is_let_go_at_all_hosts(site):
-    # It was quarantined by bad luck while it ran at one host, where it gets its own answer.
+async def test_an_answer_ends_the_quarantine_of_a_request_at_all_hosts(site):
+    # The request is quarantined while it runs at one host, where it then gets its answer.
     await tell_starts(site)
     for upstream in site.upstreams.values():
         upstream.hold.clear()
@@ -158,14 +157,14 @@
     for upstream in site.upstreams.values():
         upstream.hold.set()
     assert (await asked).status == 200
-    await wait_until(lambda: not any(count_quarantined(site)), "acquittal")
+    await wait_until(lambda: not any(count_quarantined(site)), "quarantine cleared")
     for host in HOSTS:
         assert (await ask(address_of(site, host), "/card/a", host, body=b"same")).status == 200
 
 
 @on_site(gateways=2)
-async def test_a_body_in_pieces_is_known_once_it_is_whole(site):
-    # Its caller and path are those of a quarantined request; its body tells that it is another.
+async def test_a_request_with_a_quarantined_head_waits_until_its_body_is_complete(site):
+    # Only the body tells whether it is the quarantined request.
     await tell_starts(site)
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
     name = fingerprint_request(head, "", Body.from_bytes(b"same"))
@@ -213,5 +212,5 @@
     ],
 )
 @on_site()
-async def test_a_lift_of_what_is_not_there_says_so(site, query, method, status):
+async def test_an_invalid_request_to_lift_a_quarantine_is_rejected(site, query, method, status):
     assert (await lift(site, query, method)).status == status
--- a/tests/hosted/test_requests.py
+++ b/tests/hosted/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway: whole answers, true refusals, runs at most once."""
+"""Requests through a gateway: complete answers, correct refusals, at most one run."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 @on_site()
-async def test_each_kind_of_request_gets_its_own_whole_answer(site):
+async def test_each_kind_of_request_gets_its_own_complete_answer(site):
     for path, request_id, headers, wanted in (
         ("/verdict/a", "v1", {"X_Token_Usage": LONG}, make_stream("v1")),
         ("/chat/a", "c1", {"X_Token_Usage": SHORT}, make_stream("c1")),
@@ -30,7 +30,7 @@
 
 
 @on_site()
-async def test_a_long_prompt_is_read_by_one_engine_and_answered_by_another(site):
+async def test_a_long_prompt_is_prefilled_by_one_engine_and_answered_by_another(site):
     await ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=LONG)
     stages = [
         (headers.get("x-stage"), "x-kv-source" in headers)
@@ -42,7 +42,7 @@
 
 
 @on_site(engines=("prefill", "prefill", "decode"))
-async def test_an_engine_is_told_where_to_fetch_what_another_one_has_read(site):
+async def test_an_engine_is_told_where_to_fetch_a_cached_prefix(site):
     parts = "aa:4000,bb:4000,{}:1000"
     for number in range(2):
         await ask(
@@ -51,7 +51,7 @@
         )  # fmt: skip
     first = next(site.upstreams[name] for name in ("e0", "e1") if site.upstreams[name].arrivals)
     other = next(site.upstreams[name] for name in ("e0", "e1") if name != first.instance)
-    # The first one refuses, so that the other one has to read.
+    # The first engine refuses, so that the other one has to prefill.
     first.script.steps.append("busy")
     answer = await ask(
         address_of(site), "/chat/a", "c2", X_Token_Usage=LONG, X_Model="m",
@@ -65,13 +65,13 @@
 
 
 @on_site()
-async def test_a_short_prompt_goes_straight_to_a_decoding_engine(site):
+async def test_a_short_prompt_goes_directly_to_a_decode_engine(site):
     await ask(address_of(site), "/chat/a", "c1", X_Token_Usage=SHORT)
     assert site.upstreams["e0"].arrivals == []
 
 
 @on_site()
-async def test_what_only_the_system_may_set_is_dropped_from_callers(site):
+async def test_internal_headers_of_callers_are_dropped(site):
     await ask(
         address_of(site), "/goal/a", "g1", X_Stage="prefill", X_Kv_Source="1.2.3.4:5/h",
         X_Expect_Instance="nobody", X_Request_Priority="0", X_Deadline_Ms="1500",
@@ -109,7 +109,7 @@
     ],
 )
 @on_site()
-async def test_only_what_may_be_repeated_is_tried_again_after_it_may_have_run(
+async def test_a_request_that_may_have_run_is_repeated_only_if_it_is_idempotent(
     site, path, step, status, runs
 ):
     script(site, "s" if path[1] in "gc" and path != "/chat/a" else "e", step)
@@ -122,7 +122,7 @@
 
 
 @on_site(plain=1)
-async def test_a_refusal_says_when_to_come_back_and_that_nothing_ran(site):
+async def test_a_refusal_has_a_retry_time_and_means_that_nothing_ran(site):
     script(site, "s", "busy", "busy", "busy", "busy")
     answer = await ask(address_of(site), "/goal/a", "g1")
     assert answer.status == 503
@@ -139,7 +139,7 @@
 
 
 @on_site()
-async def test_the_routes_time_limit_brings_the_final_answer(site):
+async def test_a_request_ends_with_an_error_at_its_routes_timeout(site):
     site.routes[2]["timeoutMs"] = 150
     site.declare()
     gateway = site.gateways["g0"].gateway
@@ -151,7 +151,7 @@
 
 
 @on_site()
-async def test_a_resumable_stream_goes_on_elsewhere_inside_one_answer(site):
+async def test_a_resumable_stream_continues_at_another_engine_within_one_answer(site):
     script(site, "e", "", "cut")
     answer = await ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=LONG)
     assert (answer.status, answer.whole) == (200, True)
@@ -160,7 +160,7 @@
 
 
 @on_site()
-async def test_a_stream_that_may_not_be_resumed_looks_broken_when_it_breaks(site):
+async def test_a_broken_stream_that_may_not_be_resumed_is_cut_for_the_caller_too(site):
     script(site, "e", "cut")
     answer = await ask(address_of(site), "/chat/a", "c1", X_Token_Usage=SHORT)
     assert (answer.status, answer.whole) == (200, False)
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize(("path", "tokens"), [("/verdict/a", LONG), ("/chat/a", SHORT)])
 @on_site()
-async def test_work_stops_at_the_engine_when_the_caller_leaves(site, path, tokens):
+async def test_work_stops_at_the_engine_when_the_caller_disconnects(site, path, tokens):
     for upstream in site.upstreams.values():
         upstream.hold.clear()
     caller = await RawCaller.connect(address_of(site))
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize(("share", "status", "runs"), [(0.0, 503, 0), (5.0, 200, 1)])
 @on_site(engines=("prefill", "prefill", "decode"))
-async def test_a_rejected_reading_counts_as_one_repeat_and_the_next_as_none(
+async def test_a_rejected_prefill_counts_as_one_repeat_and_the_next_one_as_none(
     site, share, status, runs
 ):
     budgets = site.gateways["g0"].gateway._budgets
@@ -197,7 +197,7 @@
 
 
 @on_site()
-async def test_a_handle_that_is_not_used_is_freed(site):
+async def test_an_unused_handle_is_freed(site):
     script(site, "e", "", "busy", "busy", "busy")
     answer = await ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=LONG)
     assert answer.status == 503
@@ -209,7 +209,7 @@
 async def test_an_instance_that_was_replaced_at_its_address_gets_no_second_request(site):
     other = site.upstreams["s0"]
     other.instance = "s0-new"
-    # Equally loaded instances are chosen by chance: six requests missed it once in 64 runs.
+    # Equally loaded instances are chosen at random.
     for number in range(64):
         answer = await ask(address_of(site), "/goal/a", f"g{number}")
         assert answer.status == 200
@@ -233,7 +233,7 @@
 @on_site()
 async def test_requests_on_one_connection_reuse_one_upstream_connection(site):
     opened = site.gateways["g0"].gateway.count_opened_connections
-    # A host that starts asks each of the three engines once what it keeps.
+    # A host that starts asks each of the three engines once for its cached parts.
     await wait_until(lambda: opened() >= 3, "engines asked")
     before = opened()
     caller = await RawCaller.connect(address_of(site))
@@ -262,7 +262,7 @@
 
 
 @on_site(plain=1)
-async def test_callers_that_break_their_requests_off_do_not_get_an_upstream_left_out(site):
+async def test_requests_that_callers_break_off_do_not_eject_an_upstream(site):
     for number in range(8):
         caller = await RawCaller.connect(address_of(site))
         head = write_request("/goal/a", f"g{number}", method="POST").decode()
@@ -296,15 +296,15 @@
     assert b'"instances"' in state.body
 
 
-def test_the_demo_of_the_hosted_path_ends_well():
+def test_the_demo_of_the_hosted_path_succeeds():
     from swifttrestle_standins.hosted import demo
 
     assert asyncio.run(demo.run()) == 0
 
 
 @on_site()
-async def test_a_repeatable_request_is_answered_although_all_kept_connections_fell_silent(site):
-    # Each upstream has a kept connection by now; the first attempt goes out on a silent one.
+async def test_a_repeatable_request_is_answered_although_all_idle_connections_are_dead(site):
+    # Opens connections to all upstreams, so that the first attempt uses a dead one.
     for number in range(8):
         assert (await ask(address_of(site), "/card/a", f"c{number}")).status == 200
     site.silence_connections()
--- a/tests/hosted/test_upstream_limits.py
+++ b/tests/hosted/test_upstream_limits.py
@@ -1,16 +1,6 @@
-"""Upstreams that name in their answers how many requests a second they take from all hosts.
+"""All hosts together keep to the rate limit that an upstream states in its answers.
 
-One engine named a limit of 9.7 a second in all its answers from the eighth second on, and went on
-getting as many as before, from each of eight hosts: 21, 16, 23, 31 in the seconds that followed,
-where 63 in any four seconds would have been allowed. No line of any host told of the limit:
-
-    at 11.07 s: an upstream that had named a limit of 9.7 a second got 128 requests in 4 s from
-    hosts that it had told; allowed 63
-    at 39.03 s: ... a limit of 14.7 a second got 159 requests in 4 s ...; allowed 93
-
-No line of the code asked for the header: an answer was read for the request that it answered, and
-what it said of its upstream was read nowhere. And had each host kept to a part of the limit, each
-could still have sent one at once: with 65 hosts 56 in four seconds where 22 are allowed.
+Guards against ignoring the header, and against hosts that each keep to a limit that is for all.
 """
 
 import asyncio
@@ -30,7 +20,7 @@
 ENGINES = ("prefill", "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
 STREAM = {"X_Token_Usage": SHORT, "X_Model": "m"}
 READING = {"X_Token_Usage": LONG, "X_Model": "m"}
-# Seconds from the first word on in which hosts may still learn of it; the users allow three.
+# Seconds after the first such answer in which hosts may still learn of the limit.
 LEARN_SECONDS = 1.0
 LOAD_SECONDS = 5.2
 REQUESTS_A_SECOND = 50
@@ -39,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Requests that come at each host in turn."""
+    """Requests that are sent to each host in turn."""
 
     path: str
     headers: dict
@@ -51,7 +41,7 @@
 
 @contextlib.asynccontextmanager
 async def load_of(site, load):
-    """Send requests all the time; give the list of their answers, which grows."""
+    """Send requests continuously; yield the growing list of their answers."""
     answers, waiting = [], set()
 
     async def send(number):
@@ -75,7 +65,7 @@
 
 
 def list_served(site, load):
-    """Return the upstreams that such requests have reached, the busiest first."""
+    """Return the upstreams that received such requests, the busiest first."""
     role = {"verdict": "prefill" if load is READINGS else "decode"}.get(load.path.split("/")[1])
     found = [
         item
@@ -85,10 +75,10 @@
     return sorted(found, key=lambda item: len(item.arrived_at), reverse=True)
 
 
-async def name_limit(site, load, rate, everywhere=False):
-    """Have the busiest upstream name a limit under load, or `everywhere` all of its service.
+async def apply_limit(site, load, rate, everywhere=False):
+    """Have the busiest upstream state a limit under load, or with `everywhere` all of its service.
 
-    Return them, and when it began.
+    Return them, and the time from which they did.
     """
     await wait_until(lambda: list_served(site, load), "served")
     await asyncio.sleep(0.5)
@@ -103,9 +93,9 @@
     return upstreams, began
 
 
-def assert_kept(upstreams, began, rate):
-    told = began + LEARN_SECONDS
-    worst = [count_worst([at for at in item.arrived_at if at >= told]) for item in upstreams]
+def assert_limit_kept(upstreams, began, rate):
+    learned_at = began + LEARN_SECONDS
+    worst = [count_worst([at for at in item.arrived_at if at >= learned_at]) for item in upstreams]
     assert max(worst) <= allow(rate)
 
 
@@ -115,10 +105,10 @@
     ids=["repeatable", "once", "streams", "readings", "half a request", "none at all"],
 )
 @on_site(gateways=3, engines=ENGINES, plain=6)
-async def test_all_hosts_together_send_no_more_than_an_upstream_takes(site, load, rate):
+async def test_all_hosts_together_keep_to_an_upstreams_limit(site, load, rate):
     async with load_of(site, load):
-        upstreams, began = await name_limit(site, load, rate)
-    assert_kept(upstreams, began, rate)
+        upstreams, began = await apply_limit(site, load, rate)
+    assert_limit_kept(upstreams, began, rate)
 
 
 @pytest.mark.parametrize(
@@ -129,37 +119,37 @@
 @on_site(gateways=3, engines=ENGINES, plain=4)
 async def test_a_service_of_which_all_name_a_limit_is_kept_to_all_of_them(site, load, rate):
     async with load_of(site, load):
-        upstreams, began = await name_limit(site, load, rate, everywhere=True)
-    assert_kept(upstreams, began, rate)
+        upstreams, began = await apply_limit(site, load, rate, everywhere=True)
+    assert_limit_kept(upstreams, began, rate)
 
 
 @pytest.mark.parametrize(
     ("load", "rate"), [(PLAIN, 2.0), (STREAMS, 2.0), (READINGS, 2.0)], ids=["plain", "s", "r"]
 )
 @on_site(gateways=8, engines=ENGINES, plain=4)
-async def test_hosts_that_book_by_schedulers_keep_to_the_limit_as_well(
-    site, load, rate, monkeypatch
-):
+async def test_hosts_that_book_through_schedulers_keep_to_the_limit(site, load, rate, monkeypatch):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 4)
     async with load_of(site, load):
-        upstreams, began = await name_limit(site, load, rate)
-    assert_kept(upstreams, began, rate)
+        upstreams, began = await apply_limit(site, load, rate)
+    assert_limit_kept(upstreams, began, rate)
 
 
 @pytest.mark.parametrize("load", [PLAIN, STREAMS, READINGS], ids=["plain", "streams", "readings"])
 @on_site(gateways=1, engines=ENGINES, plain=2)
-async def test_a_request_goes_elsewhere_where_a_word_comes_at_the_last_moment(site, load):
-    # The word is heard between the choice and the first byte: the chosen one takes nothing more.
+async def test_a_request_goes_elsewhere_if_its_upstream_stops_accepting_before_it_is_sent(
+    site, load
+):
+    # The limit is learned between the choice of the upstream and the first byte.
     permits = site.gateways["g0"].gateway._state.permits
     use, held = permits.use, []
 
-    async def hold_once(ctx, instance):
+    async def raise_held_once(ctx, instance):
         if not held:
             held.append(instance.name)
             raise UpstreamHeldError(f"{instance.name} takes nothing now", 0.1)
         await use(ctx, instance)
 
-    permits.use = hold_once
+    permits.use = raise_held_once
     answer = await ask(address_of(site), load.path, "r1", **load.headers)
     assert (answer.status, answer.whole) == (200, True)
     assert len(held) == 1
