--- a/src/swifttrestle_standins/__init__.py
+++ b/src/swifttrestle_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, shared by the demo, the tests and the benchmarks."""
+"""Stand-ins for external systems, shared by the demo, the tests and the benchmarks."""
--- a/src/swifttrestle_standins/batch.py
+++ b/src/swifttrestle_standins/batch.py
@@ -1,4 +1,4 @@
-"""The continuous batch of the fake engine: prefill chunks and one token a stream each step."""
+"""Continuous batching of the fake engine: per step, prefill chunks and one token per stream."""
 
 import os
 import random
@@ -10,20 +10,20 @@
 from typing import Any
 
 from swifttrestle.internal.protocol.prefixes import BLOCK_TOKENS
-from swifttrestle_standins.words import make_word
+from swifttrestle_standins.expected_answers import make_token
 
-PREFILL_CHUNK = 512
-HEADER = (
+PREFILL_CHUNK_TOKENS = 512
+RESPONSE_HEAD = (
     b"HTTP/1.0 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n"
     b"X-Load: %d/%d\r\n\r\n"
 )
-RANK = {"urgent": 0, "normal": 1, "background": 2}
+PRIORITY_RANKS = {"urgent": 0, "normal": 1, "background": 2}
 SEND_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
 class Speed:
-    """How fast the engine is; rates in tokens a second, times in seconds."""
+    """Engine performance; rates in tokens per second, times in seconds, cache size in blocks."""
 
     prefill_rate: float = 20_000.0
     step_seconds: float = 0.02
@@ -35,7 +35,10 @@
 
 @dataclass
 class Faults:
-    """How the engine fails now; each is set through the admin port."""
+    """Injected faults, set through the admin port.
+
+    `*_after` and `*_at` are token offsets; negative means off.
+    """
 
     busy: bool = False
     broken: bool = False
@@ -51,7 +54,7 @@
 
 @dataclass
 class Stream:
-    """One request in the batch; `left` counts prompt tokens still to prefill."""
+    """One request in the batch; `tokens_left` counts prompt tokens not prefilled yet."""
 
     request: str
     attempt: int
@@ -59,7 +62,7 @@
     offset: int
     end: int
     rank: int
-    left: int
+    tokens_left: int
     prompt_blocks: list[int]
     sock: socket.socket | None
     only_prefill: bool = False
@@ -68,10 +71,10 @@
 
 
 class Batch:
-    """All requests that the engine holds, and the thread that advances them."""
+    """All requests of the engine; `run` advances them in a thread of its own."""
 
     def __init__(self, speed: Speed, seed: int) -> None:
-        """Start empty."""
+        """Create an empty batch."""
         self.speed = speed
         self.faults = Faults()
         self.lock = threading.Condition()
@@ -88,16 +91,16 @@
 
     @property
     def active(self) -> int:
-        """Requests held now."""
+        """Number of waiting and decoding requests."""
         return len(self.waiting) + len(self.decoding)
 
-    def has_room(self, rank: int) -> bool:
-        """Return whether a request may come in; urgent ones may use a larger queue."""
+    def can_accept(self, rank: int) -> bool:
+        """Return whether the queue can accept a request; urgent requests have a larger queue."""
         limit = self.speed.slots + self.speed.queue + (self.speed.slots if rank == 0 else 0)
         return self.active < limit
 
     def add(self, stream: Stream) -> None:
-        """Take a request into the batch."""
+        """Add a request to the batch."""
         stream.record.update(
             id=stream.request,
             digest=stream.digest,
@@ -110,8 +113,8 @@
         with self.lock:
             self.runs.append(stream.record)
             cached = self._count_cached(stream.prompt_blocks)
-            hit = min(stream.left - 1, cached * BLOCK_TOKENS)
-            stream.left -= hit
+            hit = min(stream.tokens_left - 1, cached * BLOCK_TOKENS)
+            stream.tokens_left -= hit
             self.hit_tokens += hit
             self.waiting.append(stream)
             self.waiting.sort(key=lambda s: s.rank)
@@ -127,7 +130,7 @@
         return count
 
     def cancel(self, request: str, attempt: int) -> bool:
-        """Drop a request; True if it was held."""
+        """Remove a request; return whether it was in the batch."""
         with self.lock:
             for group in (self.waiting, self.decoding):
                 for stream in group:
@@ -137,8 +140,8 @@
                         return True
         return False
 
-    def cut_all(self, reason: str) -> int:
-        """Break every stream off, as a role change on a busy engine would."""
+    def abort_all(self, reason: str) -> int:
+        """Abort every stream, as a role change on a busy engine does; return their number."""
         with self.lock:
             held = self.waiting + self.decoding
             self.waiting.clear()
@@ -148,7 +151,7 @@
         return len(held)
 
     def run(self) -> None:
-        """Advance the batch for ever."""
+        """Advance the batch in an endless loop."""
         due = time.monotonic()
         while True:
             with self.lock:
@@ -164,24 +167,24 @@
                 due = time.monotonic()
 
     def _prefill_some(self) -> float:
-        budget = PREFILL_CHUNK
+        budget = PREFILL_CHUNK_TOKENS
         while self.waiting and budget > 0 and len(self.decoding) < self.speed.slots:
             stream = self.waiting[0]
-            done = min(budget, stream.left)
-            stream.left -= done
+            done = min(budget, stream.tokens_left)
+            stream.tokens_left -= done
             budget -= done
             self.prefilled += done
-            if stream.left > 0:
+            if stream.tokens_left > 0:
                 break
             self.waiting.pop(0)
-            self._remember(stream.prompt_blocks)
+            self._cache_prompt(stream.prompt_blocks)
             if stream.only_prefill:
                 self._end(stream, "prefilled")
             else:
                 self.decoding.append(stream)
-        return (PREFILL_CHUNK - budget) / self.speed.prefill_rate
+        return (PREFILL_CHUNK_TOKENS - budget) / self.speed.prefill_rate
 
-    def _remember(self, blocks: list[int]) -> None:
+    def _cache_prompt(self, blocks: list[int]) -> None:
         now = time.monotonic()
         for block in blocks:
             if block not in self.cache:
@@ -231,7 +234,7 @@
         assert stream.sock is not None
         if not stream.started:
             stream.started = True
-            data = HEADER % (self.active, self.speed.slots) + data
+            data = RESPONSE_HEAD % (self.active, self.speed.slots) + data
         try:
             stream.sock.sendall(data)
         except OSError:
@@ -247,7 +250,7 @@
 
 
 def write_event(stream: Stream, request: str) -> bytes:
-    """Return the event of the stream's next token."""
+    """Return the server-sent event of the stream's next token."""
     return (
         b'data: {"id":"%s","attempt":%d,"offset":%d,"choices":[{"index":0,"delta":'
         b'{"content":"%s"}}]}\n\n'
@@ -255,13 +258,13 @@
             request.encode(),
             stream.attempt,
             stream.offset,
-            make_word(stream.digest, stream.offset).encode(),
+            make_token(stream.digest, stream.offset).encode(),
         )
     )
 
 
 def write_finish(stream: Stream) -> bytes:
-    """Return the finish mark."""
+    """Return the events that end a complete stream."""
     return (
         b'data: {"id":"%s","attempt":%d,"offset":%d,"choices":[{"index":0,"delta":{},'
         b'"finish_reason":"stop"}]}\n\ndata: [DONE]\n\n'
--- a/src/swifttrestle_standins/caller.py
+++ b/src/swifttrestle_standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller for demo, tests and benches: asks completions and checks the answers' form."""
+"""A caller for demo, tests and benchmarks: requests completions and parses the responses."""
 
 import http.client
 import json
@@ -11,7 +11,10 @@
 
 @dataclass
 class Answer:
-    """What came back; `whole` only with the finish mark. Times in seconds."""
+    """One response; `whole` is set only with the finish mark. Times in seconds.
+
+    `lost` names the connection error, if any.
+    """
 
     status: int = 0
     text: str = ""
@@ -33,24 +36,31 @@
     max_tokens: int = 16,
     stream: bool = True,
     headers: dict[str, str] | None = None,
-    hang_up_after: int = -1,
+    disconnect_after_tokens: int = -1,
     timeout: float = 90.0,
 ) -> Answer:
-    """Ask one chat completion; hang up after so many tokens if that is wanted."""
+    """Request one chat completion; negative `disconnect_after_tokens` reads it to its end."""
     body = {
         "model": service,
         "messages": [{"role": "user", "content": prompt}],
         "max_tokens": max_tokens,
         "stream": stream,
     }
-    return send(address, "/v1/chat/completions", key, json.dumps(body).encode(),
-                headers=headers or {}, hang_up_after=hang_up_after, timeout=timeout)  # fmt: skip
+    return send(
+        address,
+        "/v1/chat/completions",
+        key,
+        json.dumps(body).encode(),
+        headers=headers or {},
+        disconnect_after_tokens=disconnect_after_tokens,
+        timeout=timeout,
+    )
 
 
 def call_service(
     address: str, key: str, service: str, value: Any, headers: dict[str, str] | None = None
 ) -> Answer:
-    """Call a plain service; the answer's JSON comes back as text."""
+    """Call a plain service; `text` of the answer holds its JSON."""
     path = f"/services/{service}/run"
     return send(address, path, key, json.dumps(value).encode(), headers=headers or {})
 
@@ -62,12 +72,12 @@
     body: bytes,
     *,
     headers: dict[str, str],
-    hang_up_after: int = -1,
+    disconnect_after_tokens: int = -1,
     timeout: float = 90.0,
 ) -> Answer:
-    """Send one request and read its answer, streamed or whole."""
+    """Send one request and read its response, streamed or not."""
     answer = Answer()
-    began = time.monotonic()
+    started_at = time.monotonic()
     connection = http.client.HTTPConnection(*parse_address(address), timeout=timeout)
     all_headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
     try:
@@ -76,7 +86,7 @@
         answer.status = response.status
         answer.headers = dict(response.getheaders())
         if "event-stream" in answer.headers.get("Content-Type", ""):
-            _read_stream(response, answer, began, hang_up_after)
+            _read_stream(response, answer, started_at, disconnect_after_tokens)
         else:
             _read_whole(response, answer)
         response.close()
@@ -84,12 +94,15 @@
         answer.lost = type(error).__name__
     finally:
         connection.close()
-    answer.total = time.monotonic() - began
+    answer.total = time.monotonic() - started_at
     return answer
 
 
 def _read_stream(
-    response: http.client.HTTPResponse, answer: Answer, began: float, hang_up_after: int
+    response: http.client.HTTPResponse,
+    answer: Answer,
+    started_at: float,
+    disconnect_after_tokens: int,
 ) -> None:
     while line := response.readline():
         if line.startswith(b"event: error"):
@@ -100,10 +113,10 @@
             event = json.loads(line[6:])
             delta = event["choices"][0].get("delta", {}).get("content")
             if delta is not None:
-                answer.first_token = answer.first_token or time.monotonic() - began
+                answer.first_token = answer.first_token or time.monotonic() - started_at
                 answer.text += delta
                 answer.offsets.append(event["offset"])
-            if 0 <= hang_up_after <= len(answer.offsets):
+            if 0 <= disconnect_after_tokens <= len(answer.offsets):
                 return
 
 
--- a/src/swifttrestle_standins/demo.py
+++ b/src/swifttrestle_standins/demo.py
@@ -1,6 +1,6 @@
-"""`make demo`: the main job on embedded stand-ins, from declared resources to answers.
+"""`make demo`: declares resources and serves requests on stand-ins.
 
-Exits with 1 when an answer is short or wrong. With --serve it stays up until Ctrl-C.
+Exits with status 1 if an answer is incomplete or wrong. With --serve it runs until Ctrl-C.
 """
 
 import hashlib
@@ -13,22 +13,22 @@
 import yaml
 
 from swifttrestle_standins.caller import ask, call_service
+from swifttrestle_standins.expected_answers import GenerationInput, make_answer
 from swifttrestle_standins.fleet import Fleet, wait_until
-from swifttrestle_standins.words import Question, make_answer
 
 KEY = "demo-key-of-the-fan-app"
 ZONES = ("hall-a", "hall-b")
 TOKENS = 24
 
 
-def say(line: str) -> None:
-    """Print one line of the demo."""
+def print_line(line: str) -> None:
+    """Write one line to standard output and flush it."""
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
 def start_fleet(fleet: Fleet) -> list[dict]:
-    """Start stand-ins, controllers and entries; return the resources to declare."""
+    """Start stand-ins, controllers and entries; return the resources that describe them."""
     fleet.add_platform()
     resources = [
         {"kind": "Workspace", "name": "fan-app",
@@ -58,58 +58,62 @@
 
 
 def run_calls(fleet: Fleet) -> bool:
-    """Call each entry, streamed and whole, and print each answer; return whether all are right."""
-    good = True
+    """Send requests to each entry, streamed and not; return whether all answers are correct."""
+    all_correct = True
     for zone in ZONES:
         address = fleet.members[f"entry-{zone}"].addresses["listen"]
         for stream in (True, False):
             prompt = f"who scored in {zone}?"
-            wanted = make_answer(Question("small", "v1", "", f"user: {prompt}"), TOKENS)
+            expected = make_answer(GenerationInput("small", "v1", "", f"user: {prompt}"), TOKENS)
             answer = ask(address, KEY, "chat", prompt, max_tokens=TOKENS, stream=stream)
-            right = answer.whole and answer.text == wanted
-            say(f"{zone} chat stream={stream}: {'right' if right else 'WRONG'}: {answer.text}")
-            good = good and right
+            is_correct = answer.whole and answer.text == expected
+            print_line(
+                f"{zone} chat stream={stream}: {'right' if is_correct else 'WRONG'}: {answer.text}"
+            )
+            all_correct = all_correct and is_correct
         answer = call_service(address, KEY, "alerts", {"goal": zone})
-        right = answer.whole and f'"goal": "{zone}"' in answer.text
-        say(f"{zone} alert: {'right' if right else 'WRONG'}: {answer.text or answer.error}")
-        good = good and right
-    return good
+        is_correct = answer.whole and f'"goal": "{zone}"' in answer.text
+        print_line(
+            f"{zone} alert: {'right' if is_correct else 'WRONG'}: {answer.text or answer.error}"
+        )
+        all_correct = all_correct and is_correct
+    return all_correct
 
 
 def run(serve: bool = False) -> None:
-    """Run the demo; --serve keeps everything up afterwards."""
+    """Run the demo; --serve keeps all processes running afterwards."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
         resources = start_fleet(fleet)
         file = Path(folder) / "resources.yaml"
         file.write_text(yaml.safe_dump_all(resources))
         applied = fleet.ctl("apply", str(file), "--wait=30")
-        say(applied.stdout + applied.stderr)
+        print_line(applied.stdout + applied.stderr)
         for zone in ZONES:
             wait_until(lambda zone=zone: _is_loaded(fleet, zone), what="the model order")
-        good = run_calls(fleet)
-        say(fleet.ctl("status").stdout)
+        all_correct = run_calls(fleet)
+        print_line(fleet.ctl("status").stdout)
         if serve:
-            _stay_up(fleet)
-    if not good:
+            _serve_until_interrupted(fleet)
+    if not all_correct:
         sys.exit(1)
 
 
 def _is_loaded(fleet: Fleet, zone: str) -> bool:
-    """Whether the entry of a zone has learned of both engines' models."""
+    """Return whether the entry of a zone knows the models of both engines."""
     reports = fleet.dump(f"entry-{zone}")["upstreams"]
     known = [reports.get(f"engine-{each}", {}).get("holding") for each in ZONES]
     return all(held == "small@v1" for held in known)
 
 
-def _stay_up(fleet: Fleet) -> None:
+def _serve_until_interrupted(fleet: Fleet) -> None:
     for name, started in fleet.members.items():
-        say(f"{name}: {started.addresses}")
-    say(f"key of the workspace fan-app: {KEY}")
-    say("running; Ctrl-C ends it")
+        print_line(f"{name}: {started.addresses}")
+    print_line(f"key of the workspace fan-app: {KEY}")
+    print_line("running; press Ctrl-C to stop")
     try:
         threading.Event().wait()
     except KeyboardInterrupt:
-        say("ending")
+        print_line("stopping")
 
 
 if __name__ == "__main__":
--- a/src/swifttrestle_standins/engine.py
+++ b/src/swifttrestle_standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine: streams, orders, lagging reports, faults on an admin port."""
+"""A stand-in for a model engine: streams, orders, delayed reports, faults on an admin port."""
 
 import os
 import random
@@ -14,18 +14,18 @@
 from swifttrestle.internal.checks import parse_address
 from swifttrestle.internal.protocol.prefixes import count_tokens, split_blocks
 from swifttrestle.internal.transport.http import Exchange, Handler, make_client, parse_json_object
-from swifttrestle_standins.batch import RANK, Batch, Speed, Stream
+from swifttrestle_standins.batch import PRIORITY_RANKS, Batch, Speed, Stream
+from swifttrestle_standins.expected_answers import GenerationInput
 from swifttrestle_standins.orders import Orders
 from swifttrestle_standins.serving import AdminHandler, serve_until_stopped
-from swifttrestle_standins.words import Question
 
-IMPORT_RATE = 200_000.0
-RETRY_AFTER = 1
-MAX_EVENTS = 2000
+IMPORT_TOKENS_PER_SECOND = 200_000.0
+RETRY_AFTER_SECONDS = 1
+MAX_EVENTS_PER_REPLY = 2000
 
 
 class Engine(Handler):
-    """The engine's public port, with the state behind both ports."""
+    """Handler of the engine's public port; holds the state of both ports."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         seed: int,
         deadly_tokens: int,
     ) -> None:
-        """Start with nothing loaded; lags in seconds, loss as a share of cache events.
+        """Create an engine with no model loaded; lags in seconds, loss as a share of cache events.
 
-        A stream of just `deadly_tokens`, if any, ends the process as it begins.
+        A stream of exactly `deadly_tokens` tokens exits the process when it starts; 0 disables it.
         """
         self._deadly_tokens = deadly_tokens
         self.speed = speed
@@ -59,7 +59,7 @@
         self._lock = threading.Lock()
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer one request."""
         if self.batch.faults.broken:
             exchange.detach_socket().close()
             return
@@ -71,7 +71,7 @@
     def _answer(self, exchange: Exchange) -> None:
         match (exchange.method, exchange.path):
             case ("POST", "/v1/stream"):
-                self._start(exchange, parse_json_object(exchange.read_body()))
+                self._start_stream(exchange, parse_json_object(exchange.read_body()))
             case ("POST", "/v1/prefill"):
                 self._prefill(exchange, parse_json_object(exchange.read_body()))
             case ("POST", "/v1/cancel"):
@@ -90,10 +90,12 @@
                 status, answer = self.orders.take(parse_json_object(exchange.read_body()))
                 exchange.reply_json(status, answer)
             case _:
-                exchange.reply_json(404, {"reason": "no such path"})
+                exchange.reply_json(
+                    404, {"reason": f"unknown call {exchange.method} {exchange.path}"}
+                )
 
     def state(self) -> dict[str, Any]:
-        """Return the exact state, as the order path asks for it."""
+        """Return the current state, without the delay of reports."""
         holding = self.orders.holding
         return {
             "boot": self.boot,
@@ -101,19 +103,19 @@
             "model": holding.model,
             "version": holding.version,
             "adapters": holding.adapters,
-            "changing": self.orders.away,
+            "changing": self.orders.is_changing,
             "token": self.orders.token,
             "last_order": self.orders.last_order,
             "active": self.batch.active,
         }
 
     def _refuse(self, exchange: Exchange, reason: str) -> None:
-        headers = (("Retry-After", str(RETRY_AFTER)),)
+        headers = (("Retry-After", str(RETRY_AFTER_SECONDS)),)
         exchange.reply_json(503, {"reason": reason}, headers)
 
     def _find_refusal(self, body: dict[str, Any]) -> str:
         holding = self.orders.holding
-        if self.orders.away:
+        if self.orders.is_changing:
             return "away"
         if self.batch.faults.leaving:
             return "leaving"
@@ -121,11 +123,11 @@
             return "model"
         if body.get("adapter") and body["adapter"] not in holding.adapters:
             return "model"
-        if self.batch.faults.busy or not self.batch.has_room(RANK[body["priority"]]):
+        if self.batch.faults.busy or not self.batch.can_accept(PRIORITY_RANKS[body["priority"]]):
             return "busy"
         return ""
 
-    def _start(self, exchange: Exchange, body: dict[str, Any]) -> None:
+    def _start_stream(self, exchange: Exchange, body: dict[str, Any]) -> None:
         offset, end = int(body["offset"]), int(body["max_tokens"])
         imported = body.get("kv_from")
         role = self.orders.holding.role
@@ -141,22 +143,24 @@
             time.sleep(self.batch.faults.late_seconds)
         stream = self._make_stream(body, offset, end)
         if imported and self._import(imported):
-            stream.left = 1
+            stream.tokens_left = 1
         stream.sock = exchange.detach_socket()
         stream.sock.settimeout(5)
         self.batch.add(stream)
 
     def _make_stream(self, body: dict[str, Any], offset: int, end: int) -> Stream:
         prompt = str(body["prompt"])
-        question = Question(body["model"], body["version"], body.get("adapter", ""), prompt)
+        generation_input = GenerationInput(
+            body["model"], body["version"], body.get("adapter", ""), prompt
+        )
         return Stream(
             request=str(body["id"]),
             attempt=int(body["attempt"]),
-            digest=question.digest,
+            digest=generation_input.digest,
             offset=offset,
             end=end,
-            rank=RANK[body["priority"]],
-            left=count_tokens(prompt) + offset,
+            rank=PRIORITY_RANKS[body["priority"]],
+            tokens_left=count_tokens(prompt) + offset,
             prompt_blocks=list(split_blocks(prompt)),
             sock=None,
         )
@@ -199,7 +203,7 @@
             return False
         if response.status != 200:
             return False
-        time.sleep(response.json()["tokens"] / IMPORT_RATE)
+        time.sleep(response.json()["tokens"] / IMPORT_TOKENS_PER_SECOND)
         return True
 
     def _report(self, exchange: Exchange) -> None:
@@ -210,28 +214,28 @@
             due = time.monotonic() - self._report_lag
             while len(self._reports) > 1 and self._reports[1][0] <= due:
                 self._reports.popleft()
-            report = self._reports[0][1] if self._reports else self._observe()
+            report = self._reports[0][1] if self._reports else self._build_report()
         exchange.reply_json(200, report)
 
-    def _observe(self) -> dict[str, Any]:
+    def _build_report(self) -> dict[str, Any]:
         batch = self.batch
         return {
             **self.state(),
             "at": time.time(),
             "slots": self.speed.slots,
             "waiting": len(batch.waiting),
-            "waiting_tokens": sum(s.left for s in list(batch.waiting)),
+            "waiting_tokens": sum(s.tokens_left for s in list(batch.waiting)),
             "decoding": len(batch.decoding),
             "tokens_out": batch.tokens_out,
             "prefilled": batch.prefilled,
             "leaving": batch.faults.leaving,
         }
 
-    def observe_for_ever(self) -> None:
-        """Take reports, so that the lagging one can be given out."""
+    def record_reports(self) -> None:
+        """Record reports periodically, so that delayed ones can be served."""
         while True:
             with self._lock:
-                self._reports.append((time.monotonic(), self._observe()))
+                self._reports.append((time.monotonic(), self._build_report()))
             self._publish_events()
             time.sleep(0.05)
 
@@ -247,7 +251,7 @@
         since = int(exchange.query.get("since", 0))
         with self._lock:
             start = max(since - self._events_base, 0)
-            chosen = self._events[start : start + MAX_EVENTS]
+            chosen = self._events[start : start + MAX_EVENTS_PER_REPLY]
             first = self._events_base + start
         kept = [
             [first + i, what, block]
@@ -258,7 +262,7 @@
 
 
 class _Admin(AdminHandler):
-    """The engine's admin port: faults, and records of runs and orders."""
+    """Handler of the engine's admin port: faults, and records of runs and orders."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -273,7 +277,7 @@
         return vars(self._engine.batch.faults)
 
     def records(self) -> dict[str, Any]:
-        """Return every run and every order since the start."""
+        """Return all runs and orders since the process started."""
         batch = self._engine.batch
         with batch.lock:
             runs = [dict(run) for run in batch.runs]
@@ -305,10 +309,10 @@
     seed: int = 1,
     deadly_tokens: int = 0,
 ) -> None:
-    """Run a fake engine; times in seconds, rates in tokens a second."""
+    """Run a fake engine; times in seconds, rates in tokens per second."""
     speed = Speed(prefill_rate, step, per_stream, slots, queue, cache_blocks)
     batch = Batch(speed, seed)
-    orders = Orders(fencing == "checked", away, state_file, batch.cut_all)
+    orders = Orders(fencing == "checked", away, state_file, batch.abort_all)
     engine = Engine(
         speed,
         orders,
@@ -319,7 +323,7 @@
         seed=seed,
         deadly_tokens=deadly_tokens,
     )
-    for work in (batch.run, engine.observe_for_ever):
+    for work in (batch.run, engine.record_reports):
         threading.Thread(target=work, daemon=True).start()
     serve_until_stopped("engine", parse_address(listen), engine, _Admin(engine))
 
--- a/src/swifttrestle_standins/fleet.py
+++ b/src/swifttrestle_standins/fleet.py
@@ -1,7 +1,7 @@
-"""Starts the system's processes and the stand-ins on loopback, for demo, tests and benches.
+"""Starts the system's processes and the stand-ins on loopback, for demo, tests and benchmarks.
 
-Addresses that must outlive a process (a controller's peer port proves its predecessor dead)
-are picked by the system once and kept over restarts.
+Addresses are picked once and kept across restarts: a controller that answers on its
+predecessor's peer port proves that the predecessor has ended.
 """
 
 import itertools
@@ -22,24 +22,24 @@
 
 SECRET = "demo-secret-of-loopback-only"
 STOP_SECONDS = 30.0
-# Number of the first loopback address that a fleet uses; gateways in one process use lower ones.
+# Number of the first loopback address of a fleet; gateways in the same process use lower numbers.
 FIRST_IP_NUMBER = 100
 
 
 def wait_until(check: Any, seconds: float = 60.0, what: str = "condition") -> Any:
-    """Return the first true value of a check; raise TimeoutError."""
-    give_up = time.monotonic() + seconds
-    while time.monotonic() < give_up:
+    """Poll `check` and return its first true value; raises TimeoutError after `seconds`."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         value = check()
         if value:
             return value
         threading.Event().wait(0.02)
-    raise TimeoutError(f"{what} did not come within {seconds:g} s")
+    raise TimeoutError(f"{what} was not reached within {seconds:g} s")
 
 
 @dataclass
-class Started:
-    """One started process, its addresses and how it was started."""
+class ManagedProcess:
+    """One child process, its addresses and the flags it is started with."""
 
     name: str
     module: str
@@ -49,7 +49,7 @@
     addresses: dict[str, str] = field(default_factory=dict)
 
     def start(self) -> None:
-        """Start the process and wait for its line of addresses."""
+        """Start the process and wait until it prints its addresses."""
         module, _, function = self.module.partition(":")
         function = function or "main"
         command = [sys.executable, "-c", f"from {module} import {function}; {function}()"]
@@ -68,13 +68,13 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has ended."""
         assert self.process is not None
         self.process.kill()
         self.process.wait()
 
     def stop(self) -> int:
-        """Stop the process as planned; return its exit status."""
+        """Stop the process gracefully; return its exit status, or -1 if it had to be killed."""
         assert self.process is not None
         self.process.send_signal(signal.SIGCONT)
         self.process.terminate()
@@ -85,70 +85,69 @@
             return -1
 
     def process_id(self) -> int:
-        """Return the process id."""
+        """Return the id of the started process."""
         assert self.process is not None
         return self.process.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process has started and not ended."""
         return self.process is not None and self.process.poll() is None
 
 
 class Fleet:
-    """All processes of one trial; a context manager that ends them."""
+    """The processes of one run; a context manager that kills them on exit."""
 
     def __init__(self, folder: Path) -> None:
-        """Keep logs and state files in a folder."""
+        """Create an empty fleet that writes logs and state files to `folder`."""
         self.folder = folder
-        self.members: dict[str, Started] = {}
+        self.members: dict[str, ManagedProcess] = {}
         self._ip_numbers = itertools.count(FIRST_IP_NUMBER)
-        # No connection is kept: one that a server has just closed for its idleness would fail
-        # the next call, which no scenario means to test.
+        # Connections are not reused: a call on one that the server closes as idle would fail.
         close = {"Connection": "close"}
         self.client = urllib3.PoolManager(retries=False, timeout=30, headers=close)
 
     def __enter__(self) -> "Fleet":
-        """Return itself."""
+        """Return the fleet."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End every process that was started, the product's before the stand-ins."""
+        """Kill all processes, in the reverse order of their start."""
         for started in reversed(self.members.values()):
             if started.running:
                 started.kill()
 
-    def add(self, name: str, module: str, flags: dict[str, Any]) -> Started:
-        """Start one process."""
-        started = Started(name, module, flags, self.folder / f"{name}.log")
+    def add(self, name: str, module: str, flags: dict[str, Any]) -> ManagedProcess:
+        """Start a process and register it under its name."""
+        started = ManagedProcess(name, module, flags, self.folder / f"{name}.log")
         self.members[name] = started
         started.start()
         return started
 
     def pick_address(self) -> str:
-        """Return an address on a loopback IP of its own, so that nothing else can take it."""
+        """Return an address on a new loopback IP, so that no other process can bind its port."""
         ip = pick_ip(next(self._ip_numbers))
         return f"{ip}:{pick_port(ip)}"
 
-    def add_platform(self, **flags: Any) -> Started:
-        """Start the platform's stand-in at an address that restarts keep."""
+    def add_platform(self, **flags: Any) -> ManagedProcess:
+        """Start the stand-in of the platform, at an address that is kept across restarts."""
         flags = {"listen": self.pick_address(), **flags}
         return self.add("platform", "swifttrestle_standins.platform", flags)
 
-    def add_engine(self, name: str, **flags: Any) -> Started:
-        """Start an engine's stand-in."""
+    def add_engine(self, name: str, **flags: Any) -> ManagedProcess:
+        """Start the stand-in of an engine."""
         flags = {"listen": self.pick_address(), **flags}
         if flags.get("fencing") == "checked":
             flags.setdefault("state_file", str(self.folder / f"{name}.state"))
         return self.add(name, "swifttrestle_standins.engine", flags)
 
-    def add_service(self, name: str) -> Started:
-        """Start a plain service's stand-in."""
+    def add_service(self, name: str) -> ManagedProcess:
+        """Start the stand-in of a plain service."""
         listen = self.pick_address()
         return self.add(name, "swifttrestle_standins.service", {"listen": listen})
 
-    def product_flags(self, name: str, host: str, zone: str) -> dict[str, Any]:
-        """Return the flags of a process of the system."""
+    def build_process_flags(self, name: str, host: str, zone: str) -> dict[str, Any]:
+        """Return the flags that entries and controllers share."""
         return {
             "name": name,
             "host": host,
@@ -161,9 +160,9 @@
 
     def add_entry(
         self, name: str, host: str, zone: str, program: str = "swifttrestle.entry", **flags: Any
-    ) -> Started:
-        """Start an entry, or a program that stands in for it, given as module:function."""
-        base = {**self.product_flags(name, host, zone), "listen": self.pick_address()}
+    ) -> ManagedProcess:
+        """Start an entry, or the replacement `program`, given as module:function."""
+        base = {**self.build_process_flags(name, host, zone), "listen": self.pick_address()}
         base |= {"report_seconds": 0.2}
         return self.add(name, program, base | flags)
 
@@ -174,9 +173,9 @@
         zone: str,
         program: str = "swifttrestle.controller",
         **flags: Any,
-    ) -> Started:
+    ) -> ManagedProcess:
         """Start a controller with short leases."""
-        base = self.product_flags(name, host, zone)
+        base = self.build_process_flags(name, host, zone)
         base |= {
             "lease_seconds": 3,
             "lease_margin_seconds": 0.5,
@@ -187,31 +186,31 @@
         return self.add(name, program, base | flags)
 
     def call(self, method: str, address: str, path: str, value: Any = None) -> Any:
-        """Make one JSON call and return its answer."""
+        """Send one JSON request and return the decoded response."""
         body = None if value is None else json.dumps(value)
         response = self.client.request(method, f"http://{address}{path}", body=body)
         return json.loads(response.data)
 
     def set_fault(self, name: str, **change: Any) -> Any:
-        """Set faults of a stand-in."""
+        """Set faults of a stand-in through its admin port."""
         return self.call("POST", self.members[name].addresses["admin"], "/fault", change)
 
     def set_hosts(self, **hosts: Any) -> None:
-        """Change the platform's host list; None takes a host off it."""
+        """Change the platform's host list; None removes a host."""
         named = {name.replace("_", "-"): record for name, record in hosts.items()}
         admin = self.members["platform"].addresses["admin"]
         self.call("POST", admin, "/hosts", {"hosts": named})
 
     def records(self, name: str) -> dict[str, Any]:
-        """Return a stand-in's records."""
+        """Return the records of a stand-in."""
         return self.call("GET", self.members[name].addresses["admin"], "/records")
 
     def dump(self, name: str) -> dict[str, Any]:
-        """Return the dump of a process of the system."""
+        """Return the state dump of an entry or a controller."""
         return self.call("GET", self.members[name].addresses["ops"], "/debug/state")
 
     def ctl(self, *args: str) -> subprocess.CompletedProcess:
-        """Run the operators' program."""
+        """Run swifttrestle-ctl against the platform's stand-in."""
         env = dict(os.environ)
         env["SWIFTTRESTLE_PLATFORM"] = f"http://{self.members['platform'].addresses['listen']}"
         code = "from swifttrestle.ctl import main; main()"
--- a/src/swifttrestle_standins/hosted/__init__.py
+++ b/src/swifttrestle_standins/hosted/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins of the platform that hosts gateways: its store, model engines, plain services.
+"""Stand-ins for the platform of hosted gateways: its store, model engines, plain services.
 
-They run in the event loop of a test or of the demo, fail as they are told to, and record
-what reached them.
+They run in the event loop of a test or of the demo, inject faults, and record the requests that
+reach them.
 """
--- a/src/swifttrestle_standins/hosted/demo.py
+++ b/src/swifttrestle_standins/hosted/demo.py
@@ -1,9 +1,9 @@
 """The gateway on stand-ins of its platform: each kind of request, a planned stop, and duties.
 
-A second site has workspaces with keys, of which one is taken away, and upstreams that are ordered,
-of which the platform takes a zone's away.
+A second site revokes a key of a workspace, and orders upstreams, of which the platform reclaims
+those of one zone.
 
-Exits with 1 when an answer is not the upstream's whole one.
+Exits with status 1 if an answer is incomplete or wrong.
 """
 
 import asyncio
@@ -21,23 +21,23 @@
     make_event,
 )
 
-ANSWER_LIMIT = 1 << 20
-HALLS = ("hall-a", "hall-b", "hall-c")
+MAX_ANSWER_BYTES = 1 << 20
+ZONES = ("hall-a", "hall-b", "hall-c")
 REQUESTS = (
-    ("/verdict/match", "9000,50", "a long prompt, read by one engine and answered by another"),
-    ("/chat/fan", "50,500", "a short prompt, straight to a decoding engine"),
+    ("/verdict/match", "9000,50", "a long prompt, prefilled and decoded by different engines"),
+    ("/chat/fan", "50,500", "a short prompt, sent directly to a decode engine"),
     ("/goal/alert", "", "a call that may not be repeated"),
 )
 
 
-def say(line: str) -> None:
-    """Print one line of the demo."""
+def print_line(line: str) -> None:
+    """Write one line to standard output and flush it."""
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
 async def start_site() -> Site:
-    """Start the store, six engines, two plain instances and two gateways."""
+    """Start a store, six engines, two plain upstreams and two gateways."""
     site = Site()
     await site.start()
     site.services = [make_model_service("model"), {"name": "alerts", "maxConns": 50}]
@@ -61,7 +61,7 @@
 async def ask(
     site: Site, host: str, path: str, tokens: str, request_id: str, key: str = ""
 ) -> bytes:
-    """Send one request through a host's gateway and return the whole body."""
+    """Send one request through a host's gateway and return the response body."""
     body = Body.from_bytes(b"")
     headers = [(b"Host", b"site.example"), (b"X-Request-Id", request_id.encode())]
     if tokens:
@@ -70,12 +70,12 @@
         headers.append((b"X-Key", key.encode()))
     request = OutgoingRequest(b"POST", path.encode(), headers, Framing.LENGTH, 0, body)
     address = site.gateways[host].settings.callers
-    _, content = await call_once(ConnectionPool(), host, address, request, ANSWER_LIMIT)
+    _, content = await call_once(ConnectionPool(), host, address, request, MAX_ANSWER_BYTES)
     return content
 
 
 async def start_duty_site() -> Site:
-    """Start a site with workspaces, and with a service whose upstreams are ordered."""
+    """Start a site with workspaces, and with a service that scales by ordering upstreams."""
     site = Site()
     await site.start()
     await site.start_duties()
@@ -85,7 +85,7 @@
     site.routes = [make_route("goal", "unsafe", "alerts", maxAttempts=1)]
     site.workspaces = [{"name": "club", "apiKeys": ["key-that-stays", "key-that-goes"]}]
     for number in range(6):
-        zone = HALLS[number % len(HALLS)]
+        zone = ZONES[number % len(ZONES)]
         role = ("prefill", "decode")[number % 2]
         await site.add_upstream(StandInEngine(f"engine-{number}", "model", zone, role))
     await site.add_upstream(StandInUpstream("alerts-0", "alerts", "hall-a"))
@@ -95,83 +95,83 @@
     return site
 
 
-async def show_keys(site: Site) -> int:
-    """Take a key away; return the number of wrong answers."""
-    wrong = 0
+async def demonstrate_key_revocation(site: Site) -> int:
+    """Revoke a key; return the number of wrong answers."""
+    wrong_answers = 0
     for key in ("key-that-stays", "key-that-goes"):
         name = f"before-{key}"
-        right = await ask(site, "host-c", "/goal/a", "", name, key) == make_content(name)
-        wrong += not right
-        say(f"host-c with {key}: {'right' if right else 'WRONG'}")
+        is_correct = await ask(site, "host-c", "/goal/a", "", name, key) == make_content(name)
+        wrong_answers += not is_correct
+        print_line(f"host-c with {key}: {'right' if is_correct else 'WRONG'}")
     site.workspaces = [{"name": "club", "apiKeys": ["key-that-stays"]}]
     version = site.declare()
     gateway = site.gateways["host-c"].gateway
-    await wait_until(lambda: gateway.config_version == version, "the version in force")
+    await wait_until(lambda: gateway.config_version == version, "the new configuration version")
     content = await ask(site, "host-c", "/goal/a", "", "after", "key-that-goes")
     refused = b"UNKNOWN_KEY" in content
-    say(f"host-c with key-that-goes, taken away: {'right: refused' if refused else 'WRONG'}")
-    return wrong + (not refused)
+    print_line(f"host-c with key-that-goes, revoked: {'right: refused' if refused else 'WRONG'}")
+    return wrong_answers + (not refused)
 
 
-async def show_capacity(site: Site) -> None:
-    """Have reclaimable upstreams take the place of lasting ones, and a zone be reclaimed."""
+async def demonstrate_capacity(site: Site) -> None:
+    """Replace non-reclaimable upstreams by reclaimable ones, then reclaim those of a zone."""
     duties = site.duties
     assert duties is not None
     await wait_until(lambda: count_kinds(site) == (3, 6), "reclaimable upstreams")
-    say("ordered: 3 lasting and 6 reclaimable engines in the place of 6 lasting ones")
+    print_line("ordered: 3 non-reclaimable and 6 reclaimable engines replace 6 non-reclaimable")
     duties.reclaim("hall-b", 0.3)
-    await wait_until(lambda: count_kinds(site) == (3, 4), "the zone reclaimed")
+    await wait_until(lambda: count_kinds(site) == (3, 4), "the zone's reclaim")
     duties.faults.dry_zones.clear()
-    await wait_until(lambda: count_kinds(site) == (3, 6), "the zone back")
-    say("hall-b: reclaimed by the platform, and ordered again")
-    await wait_until(lambda: any(duties.reports.values()), "a report of usage")
-    say(f"usage reported, {len(duties.broken)} rules broken by duty calls")
+    await wait_until(lambda: count_kinds(site) == (3, 6), "new engines in the zone")
+    print_line("hall-b: reclaimed by the platform, and ordered again")
+    await wait_until(lambda: any(duties.reports.values()), "a usage report")
+    print_line(f"usage reported, {len(duties.broken)} rules violated by duty calls")
 
 
 async def run_duties() -> int:
-    """Run the part on keys and duties; return the number of wrong answers."""
+    """Demonstrate keys and duties; return the number of wrong answers and violated rules."""
     site = await start_duty_site()
     try:
-        wrong = await show_keys(site)
-        await show_capacity(site)
+        wrong_answers = await demonstrate_key_revocation(site)
+        await demonstrate_capacity(site)
         assert site.duties is not None
-        return wrong + len(site.duties.broken)
+        return wrong_answers + len(site.duties.broken)
     finally:
         await site.stop()
 
 
 async def run() -> int:
-    """Run the demo; return the number of wrong answers."""
+    """Run both parts of the demo; return the number of errors."""
     return await run_requests() + await run_duties()
 
 
 async def run_requests() -> int:
-    """Run the part on requests; return the number of wrong answers."""
+    """Demonstrate requests; return the number of wrong answers."""
     site = await start_site()
-    wrong = 0
+    wrong_answers = 0
     try:
         engines = [item for item in site.upstreams.values() if isinstance(item, StandInEngine)]
         await wait_until(lambda: sum(e.role == "prefill" for e in engines) == 4, "planned roles")
-        say("roles: " + ", ".join(f"{engine.instance}={engine.role}" for engine in engines))
+        print_line("roles: " + ", ".join(f"{engine.instance}={engine.role}" for engine in engines))
         for host in site.gateways:
             for number, (path, tokens, what) in enumerate(REQUESTS):
                 name = f"{host}-{number}"
-                wanted = b"".join(make_event(name, event) for event in range(1, 5))
+                expected = b"".join(make_event(name, event) for event in range(1, 5))
                 if not tokens:
-                    wanted = make_content(name)
-                right = await ask(site, host, path, tokens, name) == wanted
-                wrong += not right
-                say(f"{host} {path}: {'right' if right else 'WRONG'}: {what}")
+                    expected = make_content(name)
+                is_correct = await ask(site, host, path, tokens, name) == expected
+                wrong_answers += not is_correct
+                print_line(f"{host} {path}: {'right' if is_correct else 'WRONG'}: {what}")
         site.gateways["host-a"].gateway.stop()
         await site.gateways["host-a"].task
-        say("host-a stopped as planned")
+        print_line("host-a stopped as planned")
     finally:
         await site.stop()
-    return wrong
+    return wrong_answers
 
 
 def main() -> None:
-    """Run the demo and end with its verdict."""
+    """Run the demo; exit with status 1 if it found errors."""
     sys.exit(1 if asyncio.run(run()) else 0)
 
 
--- a/src/swifttrestle_standins/hosted/direct.py
+++ b/src/swifttrestle_standins/hosted/direct.py
@@ -1,4 +1,4 @@
-"""The client of the stand-in store without a network: calls that take a time, hang, or fail."""
+"""A client of the stand-in store without a network, whose calls take time, hang, or fail."""
 
 import asyncio
 from typing import Any
@@ -14,12 +14,15 @@
 
 
 class DirectStore(ObjectStore):
-    """Calls to a stand-in in the same loop; `way` is how they fail: up, busy, or silent."""
+    """Calls a stand-in in the same event loop.
+
+    `way` is the failure mode: "up" (none), "busy" (calls fail at once), "silent" (calls time out).
+    """
 
     def __init__(
         self, stand_in: StandInStore | None = None, answer_seconds: float = ANSWER_SECONDS
     ) -> None:
-        """Call a store, whose answers take so many seconds."""
+        """Create a client of `stand_in`, or of a new store, with a fixed response time."""
         self.stand_in = stand_in or StandInStore()
         self.epochs = StoreEpochs()
         self.calls = 0
@@ -28,7 +31,7 @@
         self._changed = asyncio.Event()
 
     def set_way(self, way: str) -> None:
-        """Have calls fail in a way from now on, also those that are under way."""
+        """Set the failure mode, also for calls in progress."""
         self.way = way
         self._changed.set()
         self._changed = asyncio.Event()
@@ -37,17 +40,17 @@
         self, method: bytes, path: str, body: Any, seconds: float = CALL_SECONDS
     ) -> Any:
         self.calls += 1
-        ends = asyncio.get_running_loop().time() + seconds
+        deadline = asyncio.get_running_loop().time() + seconds
         answer = asyncio.ensure_future(self._answer(method, path, body))
-        broken = asyncio.ensure_future(self._wait_for_loss())
-        await asyncio.wait([answer, broken], return_when=asyncio.FIRST_COMPLETED)
-        broken.cancel()
-        if answer.done() and not broken.done():
+        failed = asyncio.ensure_future(self._wait_for_failure())
+        await asyncio.wait([answer, failed], return_when=asyncio.FIRST_COMPLETED)
+        failed.cancel()
+        if answer.done() and not failed.done():
             return answer.result()
         answer.cancel()
         if self.way == "silent":
-            # What was lost on a connection never comes, also once the store is back.
-            await asyncio.sleep(ends - asyncio.get_running_loop().time())
+            # A lost response never arrives, even if the store recovers before the timeout.
+            await asyncio.sleep(deadline - asyncio.get_running_loop().time())
         raise PlatformUnavailableError(f"{path}: {self.way}")
 
     async def _answer(self, method: bytes, path: str, body: Any = None) -> Any:
@@ -59,6 +62,6 @@
         check_status(status, path)
         return answer
 
-    async def _wait_for_loss(self) -> None:
+    async def _wait_for_failure(self) -> None:
         while self.way == "up":
             await self._changed.wait()
--- a/src/swifttrestle_standins/hosted/duties.py
+++ b/src/swifttrestle_standins/hosted/duties.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's duty calls: it judges who sends, and starts what is ordered."""
+"""A stand-in for the platform's duty API: checks the senders' leases and starts ordered engines."""
 
 import asyncio
 import functools
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from swifttrestle_standins.hosted.site import Site
 
-BODY_LIMIT = 4 * 1024 * 1024
-# What a service in three zones may declare of its ordering.
+MAX_BODY_BYTES = 4 * 1024 * 1024
+# Scaling settings of a service in three zones.
 SCALING = {
     "min": 1,
     "max": 6,
@@ -29,7 +29,11 @@
 
 @dataclass
 class DutyFaults:
-    """How the platform fails now; `lose_answers` counts calls to do without an answer."""
+    """Injected faults of the duty API.
+
+    `lose_answers` is the number of calls to apply without answering. Zones in `dry_zones` are out
+    of reclaimable capacity.
+    """
 
     down: bool = False
     lose_answers: int = 0
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True)
 class DutyCall:
-    """One call as it arrived; `at` is the loop's time."""
+    """One received call; `at` is in seconds of the event loop's clock."""
 
     at: float
     subject: str
@@ -48,30 +52,30 @@
 
 
 class StandInDuties(RequestHandler):
-    """Takes calls, keeps what each of them broke, and brings ordered engines up and down."""
+    """Applies duty calls, records rule violations, and starts and stops ordered engines."""
 
     def __init__(self, site: "Site", boot_seconds: float = 0.2, lease_seconds: float = 1.0) -> None:
-        """Serve a site."""
+        """Serve the duty API of a site; times in seconds."""
         self.faults = DutyFaults()
         self.calls: list[DutyCall] = []
         self.reports: dict[int, dict[str, int]] = {}
-        # Engines that were ordered or taken away, with what they recorded.
+        # Engines that were removed, with their records.
         self.ended: list[StandInEngine] = []
-        # What a call broke, in words.
+        # Descriptions of the rules that calls violated.
         self.broken: list[str] = []
         self._site = site
         self._boot_seconds = boot_seconds
         self._lease_seconds = lease_seconds
-        self._numbers = itertools.count(1)
+        self._engine_numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def limits(self) -> Limits:
-        """Return limits that no call here meets."""
+        """Return limits that calls do not reach."""
         return Limits(header_seconds=60, idle_seconds=600)
 
     async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        """Answer one call, or fail as told."""
-        content = await request.body.read_whole(BODY_LIMIT)
+        """Answer one call, or inject a fault."""
+        content = await request.body.read_whole(MAX_BODY_BYTES)
         if self.faults.down:
             await reply.send_whole(503, (), b"")
             return
@@ -83,57 +87,61 @@
         holder, token = headers["x-lease-holder"], int(headers["x-fencing-token"])
         now = asyncio.get_running_loop().time()
         call = DutyCall(now, subject, holder, token, body)
-        self._judge(call)
+        self._check_call(call)
         self.calls.append(call)
-        status = self._take_report(body) if usage else self._take_order(body)
+        status = self._record_report(body) if usage else self._apply_order(body)
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
             reply.abort()
             return
         await reply.send_whole(status, (), b"")
 
-    def _judge(self, call: DutyCall) -> None:
+    def _check_call(self, call: DutyCall) -> None:
         earlier = [item for item in self.calls if item.subject == call.subject]
         for item in earlier:
             if item.token == call.token and item.holder != call.holder:
-                self.broken.append(f"{call.holder} and {item.holder} sent {call.token}")
+                self.broken.append(
+                    f"{call.holder} and {item.holder} both sent fencing token {call.token}"
+                )
             if item.token > call.token:
-                self.broken.append(f"{call.token} came after {item.token}")
-        late = [item.holder for item in earlier if call.at - item.at < self._lease_seconds]
-        turns = [holder for holder, _ in itertools.groupby([*late, call.holder])]
-        if len(turns) > len(set(turns)):
-            self.broken.append(f"holders took turns: {turns}")
+                self.broken.append(f"fencing token {call.token} arrived after {item.token}")
+        recent_holders = [
+            item.holder for item in earlier if call.at - item.at < self._lease_seconds
+        ]
+        holder_changes = [holder for holder, _ in itertools.groupby([*recent_holders, call.holder])]
+        if len(holder_changes) > len(set(holder_changes)):
+            self.broken.append(f"lease holders alternated within a lease: {holder_changes}")
 
-    def _take_report(self, body: dict[str, Any]) -> int:
+    def _record_report(self, body: dict[str, Any]) -> int:
         window, counts = body["windowId"], body["counts"]
         if self.reports.setdefault(window, counts) != counts:
-            self.broken.append(f"window {window} was reported twice, and differently")
+            self.broken.append(f"window {window} was reported twice with different counts")
         return 200
 
-    def _take_order(self, body: dict[str, Any]) -> int:
+    def _apply_order(self, body: dict[str, Any]) -> int:
         zone, wanted = body["zone"], body["desiredCount"]
         reclaimable = body.get("spot", False)
-        standing = self._list_standing(body["service"], zone, reclaimable)
-        if wanted > len(standing) and reclaimable and zone in self.faults.dry_zones:
+        active = self._list_active(body["service"], zone, reclaimable)
+        if wanted > len(active) and reclaimable and zone in self.faults.dry_zones:
             return 409
-        for upstream in standing[wanted:]:
-            self._withdraw(upstream, self._boot_seconds)
-        for _ in range(wanted - len(standing)):
+        for upstream in active[wanted:]:
+            self._drain(upstream, self._boot_seconds)
+        for _ in range(wanted - len(active)):
             self._start_engine(body["service"], zone, reclaimable)
         return 200
 
     def reclaim(self, zone: str, notice_seconds: float) -> None:
-        """Take all reclaimable engines of a zone away, and have none there any more."""
+        """Reclaim all reclaimable engines of a zone, which is out of reclaimable capacity then."""
         self.faults.dry_zones.add(zone)
         for upstream in list(self._site.upstreams.values()):
             if not isinstance(upstream, StandInEngine) or upstream.zone != zone:
                 continue
             if upstream.reclaimable:
                 upstream.leaves_ms = int(notice_seconds * 1000)
-                self._withdraw(upstream, notice_seconds)
+                self._drain(upstream, notice_seconds)
 
-    def _list_standing(self, service: str, zone: str, reclaimable: bool) -> list[StandInEngine]:
-        """Return the engines of a kind that serve or come up, and do not leave."""
+    def _list_active(self, service: str, zone: str, reclaimable: bool) -> list[StandInEngine]:
+        """Return the engines of a service and kind that serve or boot and are not draining."""
         return [
             item
             for item in self._site.upstreams.values()
@@ -143,33 +151,33 @@
         ]
 
     def _start_engine(self, service: str, zone: str, reclaimable: bool) -> None:
-        engine = StandInEngine(f"n{next(self._numbers)}", service, zone, "prefill")
+        engine = StandInEngine(f"n{next(self._engine_numbers)}", service, zone, "prefill")
         engine.reclaimable = reclaimable
         self._site.upstreams[engine.instance] = engine
-        self._later(self._boot_seconds, lambda: self._bring_up(engine))
+        self._schedule(self._boot_seconds, lambda: self._start_serving(engine))
 
-    async def _bring_up(self, engine: StandInEngine) -> None:
-        """Have an engine serve, unless it was withdrawn while it came up."""
+    async def _start_serving(self, engine: StandInEngine) -> None:
+        """Make an engine serve, unless it was removed while it was booting."""
         if engine.instance in self._site.upstreams:
             await self._site.add_upstream(engine)
 
-    def _withdraw(self, engine: StandInEngine, seconds: float) -> None:
-        """Have an engine leave within some seconds; one that still comes up never does."""
+    def _drain(self, engine: StandInEngine, seconds: float) -> None:
+        """Drain an engine and remove it after `seconds`; remove a booting one at once."""
         if engine.instance not in self._site.addresses:
             del self._site.upstreams[engine.instance]
             return
         self._site.list_upstream(engine, "draining")
-        self._later(seconds, functools.partial(self._end, engine))
+        self._schedule(seconds, functools.partial(self._remove, engine))
 
-    def _end(self, upstream: StandInEngine) -> None:
+    def _remove(self, upstream: StandInEngine) -> None:
         self._site.unlist_upstream(upstream)
         self._site.upstreams.pop(upstream.instance, None)
         self.ended.append(upstream)
 
-    def _later(self, seconds: float, act: Callable[[], Any]) -> None:
+    def _schedule(self, seconds: float, action: Callable[[], Any]) -> None:
         async def wait() -> None:
             await asyncio.sleep(seconds)
-            done = act()
+            done = action()
             if asyncio.iscoroutine(done):
                 await done
 
@@ -178,13 +186,13 @@
         task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """Start and end nothing any more."""
+        """Cancel all scheduled starts and removals."""
         for task in list(self._tasks):
             task.cancel()
 
 
 def count_kinds(site: "Site") -> tuple[int, int]:
-    """Return the lasting and the reclaimable engines that serve or come up."""
+    """Return the numbers of non-reclaimable and reclaimable engines that serve or boot."""
     engines = [item for item in site.upstreams.values() if isinstance(item, StandInEngine)]
     kinds = [item.reclaimable for item in engines if not site.leaves(item)]
     return kinds.count(False), kinds.count(True)
--- a/src/swifttrestle_standins/hosted/site.py
+++ b/src/swifttrestle_standins/hosted/site.py
@@ -1,4 +1,4 @@
-"""A whole small site in one event loop: the store, upstreams, and gateways on loopback."""
+"""A small site in one event loop: the store, upstreams, and gateways on loopback."""
 
 import asyncio
 import functools
@@ -22,48 +22,48 @@
 from swifttrestle_standins.hosted.upstreams import StandInEngine, StandInUpstream
 from swifttrestle_standins.loopback import pick_ip, pick_port
 
-STEP_SECONDS = 0.01
-WAIT_SECONDS = 20.0
-# Connections that fill the shortest queue of a listener: it takes one more than it names.
-QUEUE_FILLERS = 2
+POLL_SECONDS = 0.01
+WAIT_TIMEOUT_SECONDS = 20.0
+# Connections that fill a listener's queue of backlog 0; the kernel accepts backlog + 1.
+BACKLOG_CONNECTIONS = 2
 
 
 async def wait_until(check: Callable[[], Any], what: str = "condition") -> Any:
-    """Return the first true value of a check; raise TimeoutError."""
+    """Poll `check` and return its first true value; raises TimeoutError."""
     try:
-        async with asyncio.timeout(WAIT_SECONDS):
+        async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while not (value := check()):
-                await asyncio.sleep(STEP_SECONDS)
+                await asyncio.sleep(POLL_SECONDS)
             return value
     except TimeoutError:
-        raise TimeoutError(f"{what} did not come within {WAIT_SECONDS:g} s") from None
+        raise TimeoutError(f"{what} was not reached within {WAIT_TIMEOUT_SECONDS:g} s") from None
 
 
 class Crashing(Enum):
-    """How upstreams crash: what their callers and the list see of it."""
+    """How upstreams crash, as seen by their callers and in the discovery list."""
 
-    RESET = "connections are reset; it comes back under its id"
-    OTHER_ID = "connections are reset; it comes back under another id at its address"
-    SILENT = "connections fall silent; its record lapses; it comes back under its id"
-    SUPERVISED = "connections are reset behind a port that stays open; it comes back under its id"
+    RESET = "connections are reset; restarts with the same id"
+    OTHER_ID = "connections are reset; restarts with another id at the same address"
+    SILENT = "connections stop responding; the record expires; restarts with the same id"
+    SUPERVISED = "connections are reset by a port that stays open; restarts with the same id"
 
 
 class _ServerConnection(CallerConnection):
-    """A stand-in's end of a connection."""
+    """The server side of a connection to a stand-in."""
 
-    _silent = False
+    _silenced = False
 
-    def fall_silent(self) -> None:
-        """Say nothing any more, without closing."""
-        self._silent = True
+    def stop_responding(self) -> None:
+        """Send nothing any more, without closing the connection."""
+        self._silenced = True
 
     def _write(self, data: bytes) -> None:
-        if not self._silent:
+        if not self._silenced:
             super()._write(data)
 
 
 class _ResettingConnection(asyncio.Protocol):
-    """Takes a connection and resets it, as a supervisor that holds a dead process's socket."""
+    """Accepts a connection and resets it, as a supervisor that holds a dead process's socket."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Reset the connection."""
@@ -73,7 +73,7 @@
 
 @dataclass
 class RunningGateway:
-    """One started gateway and where it listens."""
+    """One started gateway, its settings and its metrics address."""
 
     gateway: Gateway
     settings: HostSettings
@@ -83,11 +83,11 @@
 
 @dataclass
 class Site:
-    """The parts of a site; `start` brings the store up, then add upstreams and gateways."""
+    """The components of a site; call `start` first, then add upstreams and gateways."""
 
     store: StandInStore = field(default_factory=StandInStore)
     store_address: str = ""
-    # The platform's duty calls, where the site has them.
+    # The platform's duty API, if the site has one.
     duties: StandInDuties | None = None
     duties_address: str = ""
     upstreams: dict[str, StandInUpstream] = field(default_factory=dict)
@@ -95,18 +95,19 @@
     addresses: dict[str, str] = field(default_factory=dict)
     services: list[dict[str, Any]] = field(default_factory=list)
     routes: list[dict[str, Any]] = field(default_factory=list)
-    # Who may call, with which keys; None where nobody needs one.
+    # Workspaces with their keys; None if callers need no key.
     workspaces: list[dict[str, Any]] | None = None
-    # Bounds that the settings of the next gateways name besides the usual ones.
+    # Bounds that override the defaults in the settings of gateways added later.
     bounds: dict[str, Any] = field(default_factory=dict)
     _servers: list[asyncio.Server] = field(default_factory=list)
-    _sets: dict[str, ConnectionSet] = field(default_factory=dict)
-    # The instances that crashed, in order, and those that are away after it.
+    _connection_sets: dict[str, ConnectionSet] = field(default_factory=dict)
+    # The instances that crashed, in order.
     crashes: list[str] = field(default_factory=list)
-    # The loop's times of the crashes by the body of the request that brought them about.
+    # Times of the crashes (seconds of the event loop's clock) by the body of their request.
     crash_times: dict[bytes, list[float]] = field(default_factory=lambda: defaultdict(list))
-    _away: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    # The instances whose port is open while nobody serves behind it.
+    # Restarts in progress by instance.
+    _restart_tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
+    # The instances whose port is open but resets all connections.
     _resetting: set[str] = field(default_factory=set)
     _peer_port: int = 0
     _version: int = 0
@@ -117,13 +118,13 @@
         self.store_address = await self._serve("store", self.store)
 
     async def start_duties(self) -> StandInDuties:
-        """Have the next gateways report usage and order upstreams."""
+        """Start the duty API; gateways added later report usage and order upstreams."""
         self.duties = StandInDuties(self)
         self.duties_address = await self._serve("duties", self.duties)
         return self.duties
 
     async def add_upstream(self, upstream: StandInUpstream) -> StandInUpstream:
-        """Start an upstream and list it."""
+        """Start an upstream and write its discovery record."""
         self.addresses[upstream.instance] = await self._serve(upstream.instance, upstream)
         self.upstreams[upstream.instance] = upstream
         if isinstance(upstream, StandInEngine):
@@ -137,7 +138,7 @@
         self.store.put("servers", upstream.instance, record)
 
     def leaves(self, upstream: StandInUpstream) -> bool:
-        """Return whether an upstream's record says that it leaves."""
+        """Return whether an upstream's record is in the state draining."""
         known = self.store.objects.get(("servers", upstream.instance))
         return known is not None and known["spec"]["state"] == "draining"
 
@@ -146,7 +147,7 @@
         self.store.remove("servers", upstream.instance)
 
     def declare(self, **limits: int) -> int:
-        """Write the next version of the configuration; return its number."""
+        """Write the next configuration version; return its number."""
         self._version += 3
         spec = {
             "version": self._version,
@@ -179,136 +180,147 @@
         return running
 
     async def wait_ready(self, *names: str) -> None:
-        """Wait until gateways say that they are ready."""
+        """Wait until the named gateways are ready, or all of them."""
         for name in names or self.gateways:
             await wait_until(self.gateways[name].gateway.is_ready, f"{name} ready")
 
     async def stop_upstream(self, upstream: StandInUpstream) -> None:
-        """Stop an upstream as a crash does: its connections are reset, its port is closed."""
-        self._servers = [item for item in self._servers if not self._is_of(item, upstream)]
-        for connection in list(self._sets[upstream.instance].open):
+        """Stop an upstream like a crash: reset its connections and close its port."""
+        self._servers = [
+            item for item in self._servers if not self._close_if_serving(item, upstream)
+        ]
+        for connection in list(self._connection_sets[upstream.instance].open):
             connection.abort()
 
     def restart_upstream(self, upstream: StandInUpstream, born: int, cut: bool = True) -> None:
-        """Start an upstream again under its instance; with `cut` its connections are reset.
+        """Restart an upstream with the same instance id.
 
-        Without, they stay silent, as those to a host that lost power do.
+        Its connections are reset with `cut`; otherwise they stop responding, like those to a host
+        that lost power.
         """
-        for connection in list(self._sets[upstream.instance].open):
+        for connection in list(self._connection_sets[upstream.instance].open):
             assert isinstance(connection, _ServerConnection)
             if cut:
                 connection.abort()
             else:
-                connection.fall_silent()
+                connection.stop_responding()
         upstream.restart(born)
         self.list_upstream(upstream)
 
     def allow_crashes(
-        self, away_seconds: float, later_start: int, way: Crashing = Crashing.RESET
+        self, down_seconds: float, born_increment_ms: int, mode: Crashing = Crashing.RESET
     ) -> None:
-        """Have deadly requests crash upstreams; each starts again `later_start` ms later."""
+        """Let deadly requests crash upstreams.
+
+        An upstream is down for `down_seconds`. Each restart raises its reported start time by
+        `born_increment_ms`.
+        """
         for upstream in self.upstreams.values():
-            stay_away = functools.partial(self._stay_away, upstream, away_seconds, later_start, way)
-            upstream.crash = functools.partial(self._crash, upstream, stay_away)
+            crash_and_restart = functools.partial(
+                self._crash_and_restart, upstream, down_seconds, born_increment_ms, mode
+            )
+            upstream.crash = functools.partial(self._crash, upstream, crash_and_restart)
 
     def count_away(self) -> int:
-        """Return how many upstreams are away after a crash."""
-        return len(self._away)
+        """Return the number of upstreams that are down after a crash."""
+        return len(self._restart_tasks)
 
     def _crash(
         self,
         upstream: StandInUpstream,
-        stay_away: Callable[[], Coroutine[Any, Any, None]],
+        crash_and_restart: Callable[[], Coroutine[Any, Any, None]],
         content: bytes,
     ) -> None:
-        if upstream.instance in self._away:
+        if upstream.instance in self._restart_tasks:
             return
         name = upstream.instance
         self.crashes.append(name)
         self.crash_times[content].append(asyncio.get_running_loop().time())
-        task = asyncio.ensure_future(stay_away())
-        self._away[name] = task
-        task.add_done_callback(lambda _: self._away.pop(name, None))
+        task = asyncio.ensure_future(crash_and_restart())
+        self._restart_tasks[name] = task
+        task.add_done_callback(lambda _: self._restart_tasks.pop(name, None))
 
-    async def _stay_away(
-        self, upstream: StandInUpstream, seconds: float, later_start: int, way: Crashing
+    async def _crash_and_restart(
+        self, upstream: StandInUpstream, seconds: float, born_increment_ms: int, mode: Crashing
     ) -> None:
-        if way is Crashing.SUPERVISED:
-            await self._stay_reset(upstream, seconds, later_start)
+        if mode is Crashing.SUPERVISED:
+            await self._reset_and_restart(upstream, seconds, born_increment_ms)
             return
         former = upstream.instance
-        silent: list[socket.socket] = []
-        if way is Crashing.SILENT:
-            silent = self._fall_silent(upstream)
+        blackhole_sockets: list[socket.socket] = []
+        if mode is Crashing.SILENT:
+            blackhole_sockets = self._blackhole(upstream)
         else:
             await self.stop_upstream(upstream)
-        if way is not Crashing.RESET:
-            # What it kept in the list lapses.
+        if mode is not Crashing.RESET:
+            # Its discovery record expires.
             self.unlist_upstream(upstream)
         await asyncio.sleep(seconds)
         address = self.addresses[former]
         await self.stop_upstream(upstream)
-        for item in silent:
+        for item in blackhole_sockets:
             item.close()
-        upstream.restart(upstream.born + later_start)
-        if way is Crashing.OTHER_ID:
+        upstream.restart(upstream.born + born_increment_ms)
+        if mode is Crashing.OTHER_ID:
             upstream.instance = f"{former.partition('-')[0]}-{upstream.born}"
             self.upstreams[upstream.instance] = self.upstreams.pop(former)
             self.addresses[upstream.instance] = address
         await self._serve(upstream.instance, upstream, *parse_address(address))
         self.list_upstream(upstream)
 
-    async def _stay_reset(
-        self, upstream: StandInUpstream, seconds: float, later_start: int
+    async def _reset_and_restart(
+        self, upstream: StandInUpstream, seconds: float, born_increment_ms: int
     ) -> None:
         self._resetting.add(upstream.instance)
-        for connection in list(self._sets[upstream.instance].open):
+        for connection in list(self._connection_sets[upstream.instance].open):
             connection.abort()
         await asyncio.sleep(seconds)
         self._resetting.discard(upstream.instance)
-        upstream.restart(upstream.born + later_start)
+        upstream.restart(upstream.born + born_increment_ms)
         self.list_upstream(upstream)
 
-    def _fall_silent(self, upstream: StandInUpstream) -> list[socket.socket]:
-        """Have an upstream say nothing any more, neither on old connections nor on new ones.
+    def _blackhole(self, upstream: StandInUpstream) -> list[socket.socket]:
+        """Make an upstream stop responding, on open connections and on new ones.
 
-        Closing what is returned ends the silence of its address.
+        New connections work again once the returned sockets are closed.
         """
-        for connection in list(self._sets[upstream.instance].open):
+        for connection in list(self._connection_sets[upstream.instance].open):
             assert isinstance(connection, _ServerConnection)
-            connection.fall_silent()
-        self._servers = [item for item in self._servers if not self._is_of(item, upstream)]
-        return silence_address(*parse_address(self.addresses[upstream.instance]))
+            connection.stop_responding()
+        self._servers = [
+            item for item in self._servers if not self._close_if_serving(item, upstream)
+        ]
+        return blackhole_address(*parse_address(self.addresses[upstream.instance]))
 
     def cut_store_connections(self) -> None:
         """Reset all connections to the store."""
-        for connection in list(self._sets["store"].open):
+        for connection in list(self._connection_sets["store"].open):
             connection.abort()
 
     def silence_connections(self) -> None:
-        """Have all open connections to the store and to upstreams say nothing any more."""
-        for connections in self._sets.values():
+        """Make all open connections to the store and to upstreams stop responding."""
+        for connections in self._connection_sets.values():
             for connection in list(connections.open):
                 assert isinstance(connection, _ServerConnection)
-                connection.fall_silent()
+                connection.stop_responding()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all components."""
         if self.duties is not None:
             self.duties.stop()
-        for task in list(self._away.values()):
+        for task in list(self._restart_tasks.values()):
             task.cancel()
         for running in self.gateways.values():
             running.task.cancel()
         tasks = [running.task for running in self.gateways.values()]
         await asyncio.gather(*tasks, return_exceptions=True)
-        for connections in self._sets.values():
+        for connections in self._connection_sets.values():
             for connection in list(connections.open):
                 connection.abort()
         for server in self._servers:
             server.close()
 
-    def _is_of(self, server: asyncio.Server, upstream: StandInUpstream) -> bool:
+    def _close_if_serving(self, server: asyncio.Server, upstream: StandInUpstream) -> bool:
         host, port = server.sockets[0].getsockname()[:2]
         if f"{host}:{port}" != self.addresses[upstream.instance]:
             return False
@@ -319,7 +331,7 @@
         self, name: str, handler: RequestHandler, host: str = "127.0.0.1", port: int = 0
     ) -> str:
         connections = ConnectionSet()
-        self._sets[name] = connections
+        self._connection_sets[name] = connections
         loop = asyncio.get_running_loop()
 
         def accept() -> asyncio.Protocol:
@@ -360,23 +372,23 @@
         return {"cloudApi": {"address": self.duties_address, "duties": duties}}
 
 
-def silence_address(host: str, port: int) -> list[socket.socket]:
-    """Have new connections to an address neither come up nor be refused: its queue is full."""
+def blackhole_address(host: str, port: int) -> list[socket.socket]:
+    """Make new connections to an address hang by filling the listener's queue."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((host, port))
     listener.listen(0)
     waiting = []
-    for _ in range(QUEUE_FILLERS):
-        filler = socket.socket()
-        filler.setblocking(False)
-        filler.connect_ex((host, port))
-        waiting.append(filler)
+    for _ in range(BACKLOG_CONNECTIONS):
+        connection = socket.socket()
+        connection.setblocking(False)
+        connection.connect_ex((host, port))
+        waiting.append(connection)
     return [listener, *waiting]
 
 
 def make_route(name: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return one declared route under the path /name/ of site.example."""
+    """Return the configuration of a route for the path /name/ of site.example."""
     return {
         "name": name,
         "host": "site.example",
@@ -392,7 +404,7 @@
 
 
 def make_model_service(name: str, slots: int = 8) -> dict[str, Any]:
-    """Return one declared service of model engines."""
+    """Return the configuration of a service of model engines."""
     engine = {
         "slots": slots,
         "kvCapacity": 100_000,
--- a/src/swifttrestle_standins/hosted/store.py
+++ b/src/swifttrestle_standins/hosted/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's object store: outages, lost answers, returns from a copy."""
+"""A stand-in for the platform's object store: outages, lost responses, restores from a copy."""
 
 import asyncio
 from collections.abc import Mapping
@@ -14,34 +14,34 @@
 from swifttrestle_standins.pieces import cut_pieces
 
 PREFIX = "/v1/objects/"
-BODY_LIMIT = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 PAGE_ITEMS = 50
 
 
-# The key under which an object holds the bytes that take its place.
+# Key of an object whose value, if it is bytes, replaces the whole object in responses.
 RAW = "raw"
 
 
-def write_answer(answer: Any) -> bytes:
-    """Return an answer's JSON, with the bytes of raw entries in their places."""
+def encode_answer(answer: Any) -> bytes:
+    """Return the JSON of a response, with raw entries inserted as they are."""
     if isinstance(answer, dict):
         if isinstance(answer.get(RAW), bytes):
             return bytes(answer[RAW])
-        pairs = (orjson.dumps(key) + b":" + write_answer(item) for key, item in answer.items())
+        pairs = (orjson.dumps(key) + b":" + encode_answer(item) for key, item in answer.items())
         return b"{" + b",".join(pairs) + b"}"
     if isinstance(answer, list):
-        return b"[" + b",".join(write_answer(item) for item in answer) + b"]"
+        return b"[" + b",".join(encode_answer(item) for item in answer) + b"]"
     return orjson.dumps(answer)
 
 
 @dataclass
 class StoreFaults:
-    """How the store fails now.
+    """Injected faults of the store.
 
-    `lose_answers` counts writes to do without an answer. With `deaf_watches` a watch is taken
-    and hears of no change until its end, when it is told that history is gone. Answers are sent
-    in so many `pieces`, with a pause after each, as over a thin link. All answers name
-    `epoch_text` as the epoch in place of the store's own one; empty, they name none.
+    `lose_answers` is the number of writes to apply without answering. With `deaf_watches`, watches
+    report no change and end with status 410. Responses are sent in `pieces`, with a pause after
+    each, as over a slow link. `epoch_text` replaces the store's epoch in all responses; if empty,
+    they carry none.
     """
 
     down: bool = False
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """What the store held at a moment; it may come back with that and nothing else."""
+    """A copy of the store's contents, to restore it from."""
 
     revision: int
     objects: Mapping[tuple[str, str], dict[str, Any]]
@@ -73,97 +73,98 @@
     """Objects by kind and name, with revisions, lists, watches and conditional writes."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty store."""
         self.faults = StoreFaults()
         self.revision = 0
         self.epoch = 1
         self.objects: dict[tuple[str, str], dict[str, Any]] = {}
-        # What the operator and upstreams wrote last, None for what they removed.
-        self._written: dict[tuple[str, str], Any] = {}
+        # Last spec that the operator or an upstream wrote; None if removed.
+        self._external_writes: dict[tuple[str, str], Any] = {}
         self.calls: list[str] = []
         self._events: list[_Event] = []
-        self._forgotten = 0
+        self._discarded_through = 0
         self._changed = asyncio.Event()
 
     def limits(self) -> Limits:
-        """Return limits that no call here meets."""
+        """Return limits that calls do not reach."""
         return Limits(header_seconds=60, idle_seconds=600)
 
-    # Used by tests and by other stand-ins, as the operator or an upstream would.
+    # Interface for tests and other stand-ins, in the role of the operator or an upstream.
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object whatever its revision."""
-        self._written[kind, name] = spec
+        """Write an object unconditionally."""
+        self._external_writes[kind, name] = spec
         self._write(kind, name, spec)
 
     def put_raw(self, kind: str, name: str, content: bytes) -> None:
-        """Put the bytes of an entry in the place of an object, as a faulty writer does.
+        """Store raw bytes as an entry, as a faulty writer does.
 
-        They take the place of the whole object in lists and events; `name` is where it stands.
+        Lists and events contain them in place of the whole object; `name` is its sort key.
         """
         self.revision += 1
         item = {"metadata": {"name": name}, "spec": None, RAW: content}
         self.objects[kind, name] = item
-        self._note(_Event(self.revision, kind, item, False))
+        self._record_event(_Event(self.revision, kind, item, False))
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
-        self._written[kind, name] = None
+        self._external_writes[kind, name] = None
         self._remove(kind, name)
 
     def _remove(self, kind: str, name: str) -> None:
         item = self.objects.pop((kind, name), None)
         if item is not None:
             self.revision += 1
-            self._note(_Event(self.revision, kind, item, True))
+            self._record_event(_Event(self.revision, kind, item, True))
 
     def forget_history(self) -> None:
-        """Drop all history, so that older watches are told to list anew."""
+        """Discard all history, so that watches from older revisions get status 410."""
         self._events.clear()
-        self._forgotten = self.revision
+        self._discarded_through = self.revision
 
     def take_copy(self) -> StoreCopy:
-        """Return what the store holds now, to come back from later."""
+        """Return a copy of the current contents, to restore later."""
         return StoreCopy(self.revision, dict(self.objects), tuple(self._events))
 
     def come_back(self, copy: StoreCopy) -> None:
-        """Lose all that was written since a copy; revisions go on from there, the epoch rises.
+        """Restore the store from a copy, losing later writes; raises the epoch.
 
-        Watches that wait are kept and hear of nothing: their revisions are still to be given out.
+        Revisions continue from the copy's. Pending watches stay open and report no event until
+        revisions pass theirs.
         """
         self.epoch += 1
         self.revision = copy.revision
         self.objects = dict(copy.objects)
         self._events = list(copy.events)
-        self._forgotten = min(self._forgotten, copy.revision)
+        self._discarded_through = min(self._discarded_through, copy.revision)
         self.wake()
 
     def list_written(self) -> list[tuple[str, str]]:
         """Return the kinds and names that the operator and upstreams wrote."""
-        return list(self._written)
+        return list(self._external_writes)
 
     def write_again(self, kind: str, name: str) -> None:
-        """Do the last write of the operator, or of an upstream, once more."""
-        spec = self._written[kind, name]
+        """Repeat the last write of an object by the operator or an upstream."""
+        spec = self._external_writes[kind, name]
         if spec is None:
             self._remove(kind, name)
         else:
             self._write(kind, name, spec)
 
     def write_all_again(self) -> None:
-        """Do the last writes of the operator and of all upstreams once more."""
+        """Repeat the last writes of the operator and of all upstreams."""
         for kind, name in self.list_written():
             self.write_again(kind, name)
 
-    # The protocol.
+    # The store's protocol.
 
     async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        """Answer one call, or fail as told."""
+        """Answer one call, or inject a fault."""
         target = request.head.target.decode()
         self.calls.append(f"{request.head.method.decode()} {target}")
-        body = await request.body.read_whole(BODY_LIMIT)
+        body = await request.body.read_whole(MAX_BODY_BYTES)
         if self.faults.down:
-            await reply.send_whole(503, self._name_epoch(), b"")
+            await reply.send_whole(503, self._build_epoch_header(), b"")
             return
         path, _, query = target.partition("?")
         method = request.head.method.decode()
@@ -172,25 +173,25 @@
             self.faults.lose_answers -= 1
             reply.abort()
             return
-        content = write_answer(answer)
-        await reply.start(status, self._name_epoch(), Framing.LENGTH, len(content))
+        content = encode_answer(answer)
+        await reply.start(status, self._build_epoch_header(), Framing.LENGTH, len(content))
         for piece in cut_pieces(content, self.faults.pieces):
             await reply.send(piece)
             await asyncio.sleep(self.faults.pause_seconds)
         await reply.end()
 
-    def _name_epoch(self) -> tuple[Header, ...]:
-        named = self.faults.epoch_text
-        text = str(self.epoch).encode() if named is None else named
+    def _build_epoch_header(self) -> tuple[Header, ...]:
+        epoch_text = self.faults.epoch_text
+        text = str(self.epoch).encode() if epoch_text is None else epoch_text
         return ((b"Store-Era", text),) if text else ()
 
     async def _answer(self, method: str, path: str, query: str, body: bytes) -> tuple[int, Any]:
         kind, _, name = path.partition("/")
-        asked = {key: values[0] for key, values in parse_qs(query).items()}
+        parameters = {key: values[0] for key, values in parse_qs(query).items()}
         if method == "GET" and not name:
-            if "watch" in asked:
-                return await self._watch(kind, asked)
-            return 200, self._list(kind, asked.get("after", ""))
+            if "watch" in parameters:
+                return await self._watch(kind, parameters)
+            return 200, self._list(kind, parameters.get("after", ""))
         if method == "GET":
             item = self.objects.get((kind, name))
             return (200, item) if item else (404, {})
@@ -217,13 +218,13 @@
         page = [self.objects[kind, name] for name in names[:PAGE_ITEMS]]
         return {"items": page, "hasMore": len(names) > PAGE_ITEMS, "timestamp": self.revision}
 
-    async def _watch(self, kind: str, asked: Mapping[str, str]) -> tuple[int, Any]:
-        since = int(asked["watch"])
-        if since < self._forgotten or since > self.revision:
+    async def _watch(self, kind: str, parameters: Mapping[str, str]) -> tuple[int, Any]:
+        since = int(parameters["watch"])
+        if since < self._discarded_through or since > self.revision:
             return 410, {}
         try:
-            async with asyncio.timeout(int(asked["waitMs"]) / 1000):
-                while self.faults.deaf_watches or not self._has_news(kind, since):
+            async with asyncio.timeout(int(parameters["waitMs"]) / 1000):
+                while self.faults.deaf_watches or not self._has_events(kind, since):
                     if self.faults.down:
                         return 503, {}
                     await self._changed.wait()
@@ -237,11 +238,11 @@
         ]
         return 200, {"events": events, "timestamp": self.revision}
 
-    def _has_news(self, kind: str, since: int) -> bool:
+    def _has_events(self, kind: str, since: int) -> bool:
         return any(event.revision > since and event.kind == kind for event in self._events)
 
     def wake(self) -> None:
-        """Have waiting watches look again, as after a change of faults."""
+        """Wake pending watches, so that they notice events and changed faults."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -252,9 +253,9 @@
         self.revision += 1
         item = {"metadata": {"name": name, "revision": self.revision}, "spec": spec, "status": None}
         self.objects[kind, name] = item
-        self._note(_Event(self.revision, kind, item, False))
+        self._record_event(_Event(self.revision, kind, item, False))
         return item
 
-    def _note(self, event: _Event) -> None:
+    def _record_event(self, event: _Event) -> None:
         self._events.append(event)
         self.wake()
--- a/src/swifttrestle_standins/hosted/upstreams.py
+++ b/src/swifttrestle_standins/hosted/upstreams.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a model engine with roles and for a plain service, in the platform's protocol."""
+"""Stand-ins for model engines with roles and for plain services, in the platform's protocol."""
 
 import asyncio
 import itertools
@@ -13,17 +13,17 @@
 from swifttrestle.internal.transport.caller import IncomingRequest, RequestHandler, ResponseWriter
 from swifttrestle.internal.transport.messages import Framing, Header
 
-BODY_LIMIT = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 SIGNATURE = (b"X-Server-Signature", b"stand-in")
-# A request whose body begins with this crashes each upstream that begins to run it.
+# Body prefix of requests that crash each upstream that starts to run them.
 DEADLY = b"deadly"
-# One whose body begins with this crashes each engine that begins to read its prompt.
+# Body prefix of requests that crash each engine that starts to prefill their prompt.
 DEADLY_PROMPT = b"deadly prompt"
 
 
 @dataclass
 class Script:
-    """How the next requests fail, oldest first; an empty script means that all goes well.
+    """Faults of the next requests, one step per request; without steps, requests succeed.
 
     Steps: busy, reset, reset-after, silent, crossed, unsigned, fail, cut (in a stream, after
     its second event).
@@ -36,80 +36,79 @@
         return self.steps.popleft() if self.steps else ""
 
 
-class _SpeakingReply(ResponseWriter):
-    """Adds what an upstream says of itself to all of its answers."""
+class _HeaderAddingReply(ResponseWriter):
+    """Adds the upstream's own headers to all of its responses."""
 
     def __init__(self, reply: ResponseWriter, upstream: "StandInUpstream") -> None:
-        """Write to `reply` for an upstream."""
+        """Wrap `reply` for an upstream."""
         self._reply = reply
         self._upstream = upstream
 
     async def send_whole(self, status: int, headers: Sequence[Header], content: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.started = True
-        await self._reply.send_whole(status, self._add(status, headers), content)
+        await self._reply.send_whole(status, self._add_headers(status, headers), content)
 
     async def start(
         self, status: int, headers: Sequence[Header], framing: Framing, length: int
     ) -> None:
-        """Send the head of an answer whose body follows."""
+        """Send the head of a response whose body follows."""
         self.started = True
-        await self._reply.start(status, self._add(status, headers), framing, length)
+        await self._reply.start(status, self._add_headers(status, headers), framing, length)
 
     async def send(self, data: bytes) -> None:
-        """Send bytes of the body."""
+        """Send a part of the body."""
         await self._reply.send(data)
 
     async def end(self) -> None:
-        """End the answer as whole."""
+        """Mark the response as complete."""
         await self._reply.end()
 
     def abort(self) -> None:
         """Reset the connection."""
         self._reply.abort()
 
-    def _add(self, status: int, headers: Sequence[Header]) -> list[Header]:
+    def _add_headers(self, status: int, headers: Sequence[Header]) -> list[Header]:
         rest = self._upstream.rest
-        asked = [(b"Retry-After", rest)] if rest and status == 503 else []
-        return [*headers, *self._upstream.says, *asked]
+        retry_after = [(b"Retry-After", rest)] if rest and status == 503 else []
+        return [*headers, *self._upstream.says, *retry_after]
 
 
 class StandInUpstream(RequestHandler):
-    """What all upstreams share: one instance id, records of runs, a script of failures."""
+    """A plain upstream with an instance id, records of its runs and scripted faults."""
 
     def __init__(self, instance: str, service: str, zone: str, slots: int = 8) -> None:
-        """Stand for one start of an upstream."""
+        """Create an upstream; `slots` is the number of requests that it runs at once."""
         self.instance = instance
         self.service = service
         self.zone = zone
         self.slots = slots
-        # When it started, in Unix milliseconds; 0 for one that does not tell it.
+        # Time of its start in Unix milliseconds; 0 if it does not report it.
         self.born = 0
         self.script = Script()
         self.seconds = 0.005
         self.runs: dict[str, int] = defaultdict(int)
         self.cancelled: list[str] = []
         self.arrivals: list[tuple[str, dict[str, str]]] = []
-        # Headers that all of its answers carry, from now on.
+        # Headers that are added to all of its responses.
         self.says: list[Header] = []
-        # What its refusals ask for as time of rest, in seconds; while there is one, it refuses all.
+        # Retry-After value in seconds; while it is set, all requests are refused as busy.
         self.rest = b""
-        # The loop's time of each arrival.
+        # Time of each arrival, in seconds of the event loop's clock.
         self.arrived_at: list[float] = []
         self.hold = asyncio.Event()
         self.hold.set()
-        # Called with the body of a request in the place of a run that crashes the upstream; without
-        # it nothing is deadly.
+        # Called with the body of a deadly request instead of running it; None disables crashes.
         self.crash: Callable[[bytes], None] | None = None
 
     def limits(self) -> Limits:
-        """Return limits that no call here meets."""
+        """Return limits that calls do not reach."""
         return Limits(header_seconds=60, idle_seconds=600)
 
     def record(self, address: str, state: str = "ready") -> dict[str, Any]:
         """Return the discovery record."""
         return {
-            **self.tell_born(),
+            **self.build_born_field(),
             "service": self.service,
             "address": address,
             "zone": self.zone,
@@ -118,14 +117,14 @@
             "seq": 1,
         }
 
-    def tell_born(self) -> dict[str, int]:
-        """Return the field that tells its start, or none."""
+    def build_born_field(self) -> dict[str, int]:
+        """Return the field with the time of its start, or nothing if it does not report it."""
         return {"born": self.born} if self.born else {}
 
     def restart(self, born: int) -> None:
-        """Start again under the same instance at a time, knowing nothing of before.
+        """Restart with the same instance id and the start time `born` (Unix ms), without state.
 
-        What the former start held stays held for ever; the next start holds nothing.
+        Requests that were held by the former process stay held forever.
         """
         self.born = born
         self.hold = asyncio.Event()
@@ -133,11 +132,11 @@
         self.script.steps.clear()
 
     async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        """Check the instance, then fail as told or run the request."""
-        reply = _SpeakingReply(reply, self)
+        """Check the expected instance, then inject a fault or run the request."""
+        reply = _HeaderAddingReply(reply, self)
         headers = read_headers(request)
         name = headers.get("x-request-id", "")
-        content = await request.body.read_whole(BODY_LIMIT)
+        content = await request.body.read_whole(MAX_BODY_BYTES)
         if headers.get("x-expect-instance", self.instance) != self.instance:
             await reply.send_whole(421, [(b"X-Instance-Id", self.instance.encode())], b"")
             return
@@ -152,7 +151,7 @@
         if step == "reset":
             reply.abort()
             return
-        if self.crash is not None and content.startswith(self.find_deadly(headers)):
+        if self.crash is not None and content.startswith(self.find_deadly_prefix(headers)):
             await asyncio.sleep(self.seconds)
             self.crash(content)
             return
@@ -162,8 +161,8 @@
             self.cancelled.append(name)
             raise
 
-    def find_deadly(self, headers: dict[str, str]) -> bytes:
-        """Return how a body begins that crashes the upstream with such headers."""
+    def find_deadly_prefix(self, headers: dict[str, str]) -> bytes:
+        """Return the body prefix that crashes the upstream, given the headers."""
         return DEADLY
 
     async def run(
@@ -174,7 +173,7 @@
         request: IncomingRequest,
         reply: ResponseWriter,
     ) -> None:
-        """Run one request as a plain service does."""
+        """Run one request as a plain service."""
         self.runs[name] += 1
         await self.hold.wait()
         if step == "silent":
@@ -194,21 +193,21 @@
 
 
 class StandInEngine(StandInUpstream):
-    """An engine that reads prompts or makes tokens, and takes orders to change its role."""
+    """An engine that prefills or decodes, and applies orders to change its role."""
 
     def __init__(self, instance: str, service: str, zone: str, role: str, slots: int = 8) -> None:
-        """Start in a role."""
+        """Create an engine in the role prefill or decode."""
         super().__init__(instance, service, zone, slots)
         self.role = role
-        # Whether the platform may take it away, and in how many ms it does once it leaves.
+        # Whether the platform may reclaim it, and the notice that it gives, in ms.
         self.reclaimable = False
         self.leaves_ms = 0
         self.events = 4
         self.handles: dict[str, str] = {}
         self.freed: list[str] = []
-        # Tokens of the prompt parts of model "m" that it keeps, by the part's id.
+        # Cached prompt parts of model "m": number of tokens by the part's id.
         self.kept: dict[str, int] = {}
-        # Orders that arrived, and those that were carried out.
+        # Orders that were received, and those that were applied.
         self.arrived_orders: list[dict[str, Any]] = []
         self.orders: list[dict[str, Any]] = []
         self.apply_orders = True
@@ -217,7 +216,7 @@
         self._numbers = itertools.count(1)
 
     def restart(self, born: int) -> None:
-        """Start again: no memory, no handles, and orders are counted anew."""
+        """Restart without cached prompts, handles and applied orders."""
         super().restart(born)
         self.handles.clear()
         self.kept.clear()
@@ -233,7 +232,7 @@
         return record
 
     async def handle(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        """Answer the calls of the system itself, or a request."""
+        """Answer the system's control calls, or run a request."""
         path = request.head.target.decode()
         if path == "/v1/report":
             await self._report(reply)
@@ -241,7 +240,7 @@
             await self._order(request, reply)
         elif path == "/v1/kv-list":
             held = [["", part, tokens, "m"] for part, tokens in self.kept.items()]
-            answer = {"epoch": 1, "nextPageToken": 0, "held": held, **self.tell_born()}
+            answer = {"epoch": 1, "nextPageToken": 0, "held": held, **self.build_born_field()}
             await reply.send_whole(200, (), orjson.dumps(answer))
         elif path.startswith("/v1/kv-handle/"):
             name = path.rpartition("/")[2]
@@ -251,8 +250,8 @@
         else:
             await super().handle(request, reply)
 
-    def find_deadly(self, headers: dict[str, str]) -> bytes:
-        """Return how a body begins that crashes the engine, in the reading or in the stream."""
+    def find_deadly_prefix(self, headers: dict[str, str]) -> bytes:
+        """Return the body prefix that crashes the engine, in prefill or in decode."""
         return DEADLY_PROMPT if headers.get("x-stage") == "prefill" else DEADLY
 
     async def run(
@@ -263,26 +262,26 @@
         request: IncomingRequest,
         reply: ResponseWriter,
     ) -> None:
-        """Read a prompt, or stream an answer."""
-        reading = headers.get("x-stage") == "prefill"
-        if self.role != ("prefill" if reading else "decode"):
+        """Prefill a prompt, or stream a response."""
+        is_prefill = headers.get("x-stage") == "prefill"
+        if self.role != ("prefill" if is_prefill else "decode"):
             await reply.send_whole(421, [(b"X-Instance-Id", self.instance.encode())], b"")
             return
-        if reading:
-            await self._read(name, headers, reply)
+        if is_prefill:
+            await self._prefill(name, headers, reply)
             return
         source = headers.get("x-kv-source", "")
-        if source and not fetch_handle(source, name):
+        if source and not take_handle(source, name):
             await reply.send_whole(503, [(b"X-Not-Executed", b"1")], b"")
             return
         await self._stream(name, headers, step, reply)
 
-    async def _read(self, name: str, headers: dict[str, str], reply: ResponseWriter) -> None:
+    async def _prefill(self, name: str, headers: dict[str, str], reply: ResponseWriter) -> None:
         await self.hold.wait()
         await asyncio.sleep(self.seconds)
         handle = f"{self.instance}-h{next(self._numbers)}"
         self.handles[handle] = name
-        HANDLES[handle] = self
+        ENGINES_BY_HANDLE[handle] = self
         tokens = int(headers.get("x-token-usage", "0,0").split(",")[0])
         answer = {"kvHandle": handle, "tokens": tokens, "version": 1}
         head = [(b"X-Request-Id", name.encode())]
@@ -313,14 +312,14 @@
 
     async def _report(self, reply: ResponseWriter) -> None:
         report = {"phase": self.role, "busy": False, "seq": len(self.orders), "queued": 0,
-                  "running": 0, **self.tell_born()}  # fmt: skip
+                  "running": 0, **self.build_born_field()}  # fmt: skip
         await reply.send_whole(200, (), orjson.dumps(report))
 
     async def _order(self, request: IncomingRequest, reply: ResponseWriter) -> None:
-        order = orjson.loads(await request.body.read_whole(BODY_LIMIT))
+        order = orjson.loads(await request.body.read_whole(MAX_BODY_BYTES))
         self.arrived_orders.append(order)
         if not self.apply_orders:
-            # As an engine that would carry it out seconds later, without an answer.
+            # Like an engine that loses the response and would apply the order only later.
             reply.abort()
             return
         if order.get("expectedRev") not in (None, len(self.orders)):
@@ -336,19 +335,19 @@
         await reply.send_whole(202, (), b"")
 
 
-# The engines of one process by the handles they made, in place of the links between them.
-HANDLES: dict[str, StandInEngine] = {}
+# The engines of this process by the handles they created; replaces the transfer between engines.
+ENGINES_BY_HANDLE: dict[str, StandInEngine] = {}
 
 
-def fetch_handle(source: str, request: str) -> bool:
-    """Take a handle from the engine that holds it; False where it is not this request's."""
+def take_handle(source: str, request: str) -> bool:
+    """Remove a handle from its engine; return whether it belongs to this request."""
     name = source.rpartition("/")[2]
-    engine = HANDLES.get(name)
+    engine = ENGINES_BY_HANDLE.get(name)
     return engine is not None and engine.handles.pop(name, None) == request
 
 
 def read_headers(request: IncomingRequest) -> dict[str, str]:
-    """Return the headers by lower-case name."""
+    """Return the headers by their lower-case names."""
     return {
         name.decode("latin-1").lower(): value.decode("latin-1")
         for name, value in request.head.headers
@@ -356,10 +355,10 @@
 
 
 def make_content(name: str) -> bytes:
-    """Return the whole answer of a plain service to a request."""
+    """Return the response body of a plain service to the request `name`."""
     return f"answer to {name}".encode()
 
 
 def make_event(name: str, number: int) -> bytes:
-    """Return one event of the answer to a request."""
+    """Return one server-sent event of the response to the request `name`."""
     return f"id: {number}\ndata: {name} {number}\n\n".encode()
--- a/src/swifttrestle_standins/loopback.py
+++ b/src/swifttrestle_standins/loopback.py
@@ -1,27 +1,25 @@
-"""Loopback addresses that are picked first and bound later, also again after a restart."""
+"""Loopback addresses that are picked first and bound later, also after a restart."""
 
 import os
 import socket
 from collections import deque
 
-# Ports picked before that are not picked again: a few of them belong to one host, and are bound
-# later. One host's port for callers was that of all hosts' exchange, once in some hundred runs of
-# the tests: its callers' connections were closed without an answer.
+# Recently picked ports, which are not picked again: several ports of one host are picked before
+# any of them is bound, and must differ.
 _picked: deque[int] = deque(maxlen=4096)
 
 
 def pick_ip(number: int) -> str:
-    """Return a loopback address of this process alone.
+    """Return a loopback address that only this process uses.
 
-    A port is picked first and bound later; on an address of its own no other process, and no
-    outgoing connection, can take it in between.
+    No other process and no outgoing connection can take a port of it between picking and binding.
     """
     high, low = divmod(os.getpid(), 250)
     return f"127.{1 + high % 250}.{1 + low}.{number + 1}"
 
 
 def pick_port(ip: str) -> int:
-    """Return a port that is free at an address for TCP and UDP now, another one each time."""
+    """Return a port that is free for TCP and UDP at an address and was not picked recently."""
     while True:
         with (
             socket.socket() as stream,
--- a/src/swifttrestle_standins/orders.py
+++ b/src/swifttrestle_standins/orders.py
@@ -1,4 +1,4 @@
-"""What the fake engine does with orders: fencing, loading, role changes."""
+"""Order handling of the fake engine: fencing, model loading, role changes."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 @dataclass
 class Holding:
-    """What the engine holds; `role` is mixed, prefill or decode."""
+    """The loaded model, its adapters and the role: mixed, prefill or decode."""
 
     model: str = ""
     version: str = ""
@@ -21,20 +21,28 @@
 
 
 class Orders:
-    """Takes orders, checks or ignores their fencing token, and is away while changing."""
+    """Applies orders, checks or ignores their fencing tokens, and is unavailable while changing."""
 
     def __init__(
-        self, checked: bool, away_seconds: float, state_file: str, cut: Callable[[str], int]
+        self,
+        checked: bool,
+        change_seconds: float,
+        state_file: str,
+        abort_streams: Callable[[str], int],
     ) -> None:
-        """Start with nothing loaded; the highest token survives a restart in `state_file`."""
+        """Create it with no model loaded.
+
+        `state_file`, if not empty, keeps the highest token across restarts. `abort_streams` is
+        called with a reason before a change and returns the number of aborted streams.
+        """
         self.lock = threading.Lock()
         self.holding = Holding()
         self.log: list[dict[str, Any]] = []
         self.crash_on_order = ""
         self._checked = checked
-        self._away_seconds = away_seconds
-        self._cut = cut
-        self._away_until = 0.0
+        self._change_seconds = change_seconds
+        self._abort_streams = abort_streams
+        self._changing_until = 0.0
         self._state = Path(state_file) if state_file else None
         self.token = 0
         self.last_order = ""
@@ -42,12 +50,12 @@
             self.token = json.loads(self._state.read_text())["token"]
 
     @property
-    def away(self) -> bool:
-        """Whether a change is going on."""
-        return time.monotonic() < self._away_until
+    def is_changing(self) -> bool:
+        """Whether a change is in progress."""
+        return time.monotonic() < self._changing_until
 
     def take(self, order: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Carry one order out; returns HTTP status and answer."""
+        """Apply one order; return the HTTP status and the response."""
         with self.lock:
             token = int(order["token"])
             entry = {**order, "at": time.time(), "effect": "refused"}
@@ -58,7 +66,7 @@
             if order["action"] == "raise":
                 entry["effect"] = "raised"
                 return 200, {"token": self.token}
-            if self.away:
+            if self.is_changing:
                 entry["effect"] = "conflict"
                 return 409, {"reason": "changing"}
             if self.crash_on_order == "before":
@@ -78,11 +86,11 @@
 
     def _change(self, wanted: dict[str, Any], entry: dict[str, Any]) -> None:
         entry["effect"] = "applied"
-        entry["cut"] = self._cut("cut by order")
+        entry["cut"] = self._abort_streams("cut by order")
         self.holding = Holding(
             str(wanted["model"]),
             str(wanted["version"]),
             [str(a) for a in wanted.get("adapters", [])],
             str(wanted.get("role", "mixed")),
         )
-        self._away_until = time.monotonic() + self._away_seconds
+        self._changing_until = time.monotonic() + self._change_seconds
--- a/src/swifttrestle_standins/platform.py
+++ b/src/swifttrestle_standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: object API and host list, with faults on an admin port."""
+"""A stand-in for the platform: object API and host list, and an admin port for faults."""
 
 import threading
 import time
@@ -14,15 +14,15 @@
 from swifttrestle.internal.transport.http import Exchange, Handler, parse_json_object
 from swifttrestle_standins.serving import AdminHandler, serve_until_stopped
 
-HISTORY = 20_000
-VALUE_LIMIT = 1_000_000
-BOOKMARK_SECONDS = 1.0
+MAX_HISTORY_EVENTS = 20_000
+MAX_VALUE_BYTES = 1_000_000
+BOOKMARK_INTERVAL_SECONDS = 1.0
 WATCH_HEADER = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 
 
 @dataclass
 class Faults:
-    """How the platform fails now."""
+    """Injected faults; `lose_answers` is the number of writes to apply without answering."""
 
     down: bool = False
     slow_seconds: float = 0.0
@@ -31,16 +31,16 @@
 
 
 class TokenBucket:
-    """A rate limit of so many calls a second, with a burst of one second's worth."""
+    """A limit of `rate` calls per second, with bursts of up to one second's calls."""
 
     def __init__(self, rate: float) -> None:
-        """Start full."""
+        """Create a full bucket."""
         self._rate = rate
         self._level = rate
         self._at = time.monotonic()
 
     def take(self) -> bool:
-        """Take one call's worth, or return False."""
+        """Take one token; return False if there is none."""
         now = time.monotonic()
         self._level = min(self._rate, self._level + (now - self._at) * self._rate)
         self._at = now
@@ -51,17 +51,17 @@
 
 
 class Store:
-    """Objects with versions, and the history that watches read."""
+    """Objects with versions, and the history of events that watches read."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty store."""
         self.changed = threading.Condition()
         self.version = 0
         self.objects: dict[tuple[str, str], dict[str, Any]] = {}
-        self.history: deque[dict[str, Any]] = deque(maxlen=HISTORY)
+        self.history: deque[dict[str, Any]] = deque(maxlen=MAX_HISTORY_EVENTS)
 
     def write(self, kind: str, name: str, spec: Any, version: int) -> dict[str, Any] | None:
-        """Write conditionally; None means that the version is another."""
+        """Write if the current version is `version` (0: absent); return None otherwise."""
         with self.changed:
             current = self.objects.get((kind, name))
             if (current["version"] if current else 0) != version:
@@ -69,26 +69,26 @@
             self.version += 1
             stored = {"kind": kind, "name": name, "version": self.version, "spec": spec}
             self.objects[kind, name] = stored
-            self._note("put", stored)
+            self._record_event("put", stored)
             return stored
 
     def delete(self, kind: str, name: str, version: int) -> bool:
-        """Delete conditionally; False means that the version is another."""
+        """Delete if the current version is `version`; return False otherwise."""
         with self.changed:
             current = self.objects.get((kind, name))
             if current is None or current["version"] != version:
                 return False
             del self.objects[kind, name]
             self.version += 1
-            self._note("delete", {**current, "version": self.version})
+            self._record_event("delete", {**current, "version": self.version})
             return True
 
-    def _note(self, event: str, stored: dict[str, Any]) -> None:
+    def _record_event(self, event: str, stored: dict[str, Any]) -> None:
         self.history.append({"type": event, "version": self.version, "object": stored})
         self.changed.notify_all()
 
     def since(self, version: int, kinds: set[str]) -> list[dict[str, Any]]:
-        """Return the events of some kinds after a version; the lock is held."""
+        """Return the events of `kinds` after a version; the caller holds the lock."""
         recent = []
         for event in reversed(self.history):
             if event["version"] <= version:
@@ -99,10 +99,10 @@
 
 
 class Platform(Handler):
-    """The platform's public port, with the state behind both ports."""
+    """Handler of the platform's public port; holds the state of both ports."""
 
     def __init__(self, writes: float, reads: float, host_lag: float) -> None:
-        """Start empty, with limits in calls a second and the host list's lag in seconds."""
+        """Create an empty platform; limits in calls per second, lag of the host list in seconds."""
         self.store = Store()
         self.faults = Faults()
         self._limits = {"write": TokenBucket(writes), "read": TokenBucket(reads)}
@@ -112,10 +112,10 @@
         self._hosts: dict[str, dict[str, str]] = {}
         self._host_changes: list[tuple[float, str, dict[str, str] | None]] = []
 
-    # The public side.
+    # Public port.
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one call, unless a fault says otherwise."""
+        """Answer one call, or inject a fault."""
         client = exchange.header("User-Agent")
         parts = exchange.path.strip("/").split("/")[2:]
         kind_of_call = "read" if exchange.method == "GET" else "write"
@@ -143,7 +143,7 @@
             case ("GET", "objects", kind):
                 self._list(exchange, kind)
             case ("GET", "objects", kind, name):
-                self._reply_found(exchange, self.store.objects.get((kind, name)))
+                self._reply_read(exchange, self.store.objects.get((kind, name)))
             case ("PUT", "objects", kind, name):
                 self._write(exchange, kind, name)
             case ("DELETE", "objects", kind, name):
@@ -152,9 +152,11 @@
             case ("GET", "watch"):
                 self._watch(exchange, client)
             case ("GET", "hosts"):
-                exchange.reply_json(200, {"hosts": self._lagging_hosts()})
+                exchange.reply_json(200, {"hosts": self._list_lagging_hosts()})
             case _:
-                exchange.reply_json(400, {"message": "no such path"})
+                exchange.reply_json(
+                    400, {"message": f"unknown call {exchange.method} {exchange.path}"}
+                )
 
     def _list(self, exchange: Exchange, kind: str) -> None:
         with self.store.changed:
@@ -162,7 +164,7 @@
             version = self.store.version
         exchange.reply_json(200, {"version": version, "items": items})
 
-    def _reply_found(self, exchange: Exchange, stored: dict[str, Any] | None) -> None:
+    def _reply_read(self, exchange: Exchange, stored: dict[str, Any] | None) -> None:
         if stored is None:
             exchange.reply_json(404, {"message": "not found"})
         else:
@@ -170,8 +172,10 @@
 
     def _write(self, exchange: Exchange, kind: str, name: str) -> None:
         raw = exchange.read_body()
-        if len(raw) > VALUE_LIMIT:
-            exchange.reply_json(413, {"message": "over a megabyte"})
+        if len(raw) > MAX_VALUE_BYTES:
+            exchange.reply_json(
+                413, {"message": f"object of {len(raw)} bytes exceeds {MAX_VALUE_BYTES}"}
+            )
             return
         body = parse_json_object(raw)
         self._reply_write(
@@ -184,15 +188,17 @@
             exchange.detach_socket().close()
             return
         if stored is None:
-            exchange.reply_json(409, {"message": "another version"})
+            exchange.reply_json(409, {"message": "the object has another version; read it again"})
         else:
             exchange.reply_json(200, stored)
 
     def _watch(self, exchange: Exchange, client: str) -> None:
         since = int(exchange.query.get("since", 0))
         oldest = self.store.history[0]["version"] if self.store.history else 0
-        if len(self.store.history) == HISTORY and since < oldest:
-            exchange.reply_json(410, {"message": "too long ago"})
+        if len(self.store.history) == MAX_HISTORY_EVENTS and since < oldest:
+            exchange.reply_json(
+                410, {"message": f"version {since} is no longer in the history; list again"}
+            )
             return
         kinds = set(exchange.query.get("kinds", "").split(","))
         sock = exchange.detach_socket()
@@ -208,7 +214,7 @@
                     with self.store.changed:
                         events = self.store.since(since, kinds)
                         if not events:
-                            self.store.changed.wait(BOOKMARK_SECONDS)
+                            self.store.changed.wait(BOOKMARK_INTERVAL_SECONDS)
                             events = self.store.since(since, kinds)
                         since = self.store.version
                     if self._fails_for(client):
@@ -218,7 +224,7 @@
             except OSError:
                 return
 
-    def _lagging_hosts(self) -> list[dict[str, str]]:
+    def _list_lagging_hosts(self) -> list[dict[str, str]]:
         with self._lock:
             due = time.monotonic() - self._host_lag
             while self._host_changes and self._host_changes[0][0] <= due:
@@ -229,7 +235,7 @@
                     self._hosts[name] = {"name": name, **record}
             return list(self._hosts.values())
 
-    # The admin side.
+    # Admin port.
 
     def change(self, path: str, change: dict[str, Any]) -> Any:
         """Set faults, or hosts: {"hosts": {name: {"zone", "state"} or null}}."""
@@ -245,7 +251,7 @@
         return vars(self.faults)
 
     def records(self) -> dict[str, Any]:
-        """Return calls by client, method and path, and every write in order."""
+        """Return call counts by client, method and path, and recent writes in order."""
         with self.store.changed:
             history = list(self.store.history)
         with self._lock:
@@ -254,17 +260,17 @@
 
 
 class _Admin(AdminHandler):
-    """The admin port of a platform, apart from its public port."""
+    """Handler of the platform's admin port."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     def change(self, path: str, change: dict[str, Any]) -> Any:
-        """Apply a change of faults."""
+        """Set faults or hosts."""
         return self._platform.change(path, change)
 
     def records(self) -> dict[str, Any]:
-        """Return what the platform has seen."""
+        """Return call counts and recent writes."""
         return self._platform.records()
 
 
@@ -274,7 +280,7 @@
     reads: float = 2000,
     host_lag: float = 1.0,
 ) -> None:
-    """Run a fake platform; limits in calls a second, the host list's lag in seconds."""
+    """Run a fake platform; limits in calls per second, lag of the host list in seconds."""
     platform = Platform(writes, reads, host_lag)
     serve_until_stopped("platform", parse_address(listen), platform, _Admin(platform))
 
--- a/src/swifttrestle_standins/service.py
+++ b/src/swifttrestle_standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: answers JSON calls and notes each run."""
+"""A stand-in for a plain service: answers JSON calls and records each run."""
 
 import threading
 import time
@@ -14,7 +14,10 @@
 
 @dataclass
 class Faults:
-    """How the service fails now; `drop` is '', 'before', 'after' (the run) or 'mid'."""
+    """Injected faults.
+
+    `drop` closes the connection 'before' or 'after' the run, or 'mid' response; '' is off.
+    """
 
     busy: bool = False
     drop: str = ""
@@ -22,10 +25,10 @@
 
 
 class PlainService(Handler):
-    """The service's public port: POST anything, get an answer made from the body."""
+    """Handler of the service's public port; echoes the body of each call."""
 
     def __init__(self) -> None:
-        """Start with no run noted."""
+        """Create a service without recorded runs."""
         self.faults = Faults()
         self.runs: list[dict[str, Any]] = []
         self.lock = threading.Lock()
@@ -63,7 +66,7 @@
 
 
 class _Admin(AdminHandler):
-    """The admin port of a plain service."""
+    """Handler of the service's admin port."""
 
     def __init__(self, service: PlainService) -> None:
         self._service = service
@@ -75,7 +78,7 @@
         return vars(self._service.faults)
 
     def records(self) -> dict[str, Any]:
-        """Return every run since the start."""
+        """Return all runs since the process started."""
         with self._service.lock:
             return {"runs": list(self._service.runs)}
 
--- a/src/swifttrestle_standins/serving.py
+++ b/src/swifttrestle_standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a server with an admin port, and a start line with addresses."""
+"""Server of the stand-in processes: a public port, an admin port, and a line with addresses."""
 
 import sys
 import threading
@@ -21,7 +21,7 @@
 
 
 class AdminHandler(Handler):
-    """The admin port: POST /fault changes how the stand-in fails, GET /records tells all."""
+    """Base of admin ports: POST /fault sets faults, GET /records returns records."""
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one admin request."""
@@ -33,15 +33,15 @@
 
     @abstractmethod
     def change(self, path: str, change: dict[str, Any]) -> Any:
-        """Apply a change of faults."""
+        """Apply a change and return the resulting faults."""
 
     @abstractmethod
     def records(self) -> dict[str, Any]:
-        """Return what this stand-in has seen and done."""
+        """Return the recorded calls and actions."""
 
 
 def print_ready(name: str, **addresses: str) -> None:
-    """Print the one line by which a starter learns the addresses."""
+    """Print the addresses as one line of JSON, for the parent process."""
     sys.stdout.write(orjson.dumps({"ready": name, **addresses}).decode() + "\n")
     sys.stdout.flush()
 
