--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """Run the benches that are named, or all."""
+    """Run the benchmarks named on the command line, or all."""
     for name in sys.argv[1:] or list(BENCHES):
         {**BENCHES, "report": report.main}[name]()
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
-"""What a service's upstreams cost and how much work they miss, by the way of ordering them.
+"""Price and missed work of a service's upstreams under different capacity policies.
 
-A model in simulated time, driven by the policies in use: callers' work swings as waves and bursts;
-upstreams come up after a boot time; the platform reclaims a zone's reclaimable upstreams at the
-peak and has none there for a while. Work beyond what serves in a second is missed. What is left
-out: roles, prompts that are kept, and the seconds in which a lowered upstream is still paid.
+A simulation in virtual time that runs the production policies. Offered work varies in waves and
+bursts, upstreams serve after a boot time, and the platform reclaims a zone's reclaimable upstreams
+at the peak and has no capacity there for a while. Work beyond the serving upstreams is missed.
+Not modelled: roles, cached prompts, and the price of upstreams that are shutting down.
 """
 
 import math
@@ -22,19 +22,20 @@
 )
 from swifttrestle.internal.state.declared import Scaling
 
-# Simulated seconds of a run, and between two looks.
+# Simulated seconds of a run.
 RUN_SECONDS = 300
 ZONES = ("a", "b", "c")
+# Price of a non-reclaimable upstream, by zone.
 PRICES = {"a": 0.85, "b": 1.2, "c": 1.0}
 
 
 class UnreservedCapacity(CapacityPolicy):
-    """Reclaimable upstreams for the need alone, over the same lasting base: the way not in use."""
+    """Baseline: reclaimable upstreams for the need only, without a reserve for a lost zone."""
 
     def plan(
         self, scaling: Scaling, zones: Sequence[ZoneUpstreams], need: int
     ) -> tuple[ZonePlan, ...]:
-        """Return the need divided evenly; lasting ones go as reclaimable ones serve."""
+        """Divide the need evenly; non-reclaimable upstreams stop once reclaimable ones serve."""
         reclaimable = math.ceil(max(0, need - len(zones)) / len(zones))
         missing = need - len(zones) - sum(item.reclaimable for item in zones)
         kept = max(0, math.ceil(missing / len(zones)))
@@ -54,10 +55,10 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A load and what happens to the service; times in seconds, work in upstreams.
+    """A load and the reclaims during it; times in seconds, work in upstreams.
 
-    `reclaims` are the times at which the fullest zone's reclaimable upstreams are taken away, for
-    `dry_seconds` in which none can be had there.
+    At each time of `reclaims`, the zone with most reclaimable upstreams loses them, and is out of
+    reclaimable capacity for `unavailable_seconds`.
     """
 
     name: str
@@ -65,13 +66,13 @@
     swing: float = 0.27
     burst: float = 1.7
     boot_seconds: int = 4
-    standing: tuple[int, int, int] = (10, 10, 9)
+    initial_counts: tuple[int, int, int] = (10, 10, 9)
     reclaims: tuple[int, ...] = (63,)
-    dry_seconds: int = 9
+    unavailable_seconds: int = 9
     reclaimable_price: float = 0.15
 
     def offered(self, at: int) -> float:
-        """Return the work of a second: a wave of 11 s, and a burst of 3 s in each 20 s."""
+        """Return the work offered in second `at`: a sine wave with periodic bursts."""
         wave = 1 + self.swing * math.sin(2 * math.pi * at / 11)
         return self.work * wave * (self.burst if at % 20 < 3 else 1.0)
 
@@ -82,29 +83,32 @@
     Load("reclaimed three times", reclaims=(63, 122, 203)),
     Load("boots of 1 s", boot_seconds=1),
     Load("boots of 60 s", boot_seconds=60, reclaims=(123,)),
-    Load("load that grows fourfold", work=9.0, burst=4.0, standing=(4, 4, 4)),
+    Load("load that grows fourfold", work=9.0, burst=4.0, initial_counts=(4, 4, 4)),
     Load("reclaimable ones are dear", reclaimable_price=0.9),
 )
 
 
 @dataclass
 class Zone:
-    """One zone's upstreams; `coming` are orders that boot, as the time they serve and the kind."""
+    """The upstreams of one zone.
+
+    `pending_boots` holds, per booting upstream, when it serves and whether it is reclaimable.
+    """
 
     lasting: int
     reclaimable: int = 0
-    coming: list[tuple[int, bool]] = field(default_factory=list)
-    dry_until: int = 0
+    pending_boots: list[tuple[int, bool]] = field(default_factory=list)
+    unavailable_until: int = 0
 
     def count(self, reclaimable: bool) -> int:
-        """Return what serves or boots of a kind."""
-        booting = sum(1 for _, kind in self.coming if kind is reclaimable)
+        """Return the number of serving and booting upstreams of a kind."""
+        booting = sum(1 for _, kind in self.pending_boots if kind is reclaimable)
         return booting + (self.reclaimable if reclaimable else self.lasting)
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """Price a second, and the share of offered work that found no upstream, whole and at worst."""
+    """Price per second, and the missed share of offered work: overall and in the worst second."""
 
     price: float
     missed: float
@@ -112,63 +116,63 @@
 
 
 def play(load: Load, policy: CapacityPolicy) -> Outcome:
-    """Play one load under one way."""
+    """Simulate one load under one policy."""
     scaling = Scaling(1, 40, load.boot_seconds, PRICES, load.reclaimable_price)
-    zones = {name: Zone(count) for name, count in zip(ZONES, load.standing, strict=True)}
-    memory = PeakNeed()
-    memory.note(count_after_zone_loss(_list_standing(zones, 0)), 0.0)
+    zones = {name: Zone(count) for name, count in zip(ZONES, load.initial_counts, strict=True)}
+    peak_need = PeakNeed()
+    peak_need.note(count_after_zone_loss(_list_upstreams(zones, 0)), 0.0)
     paid = missed = offered = 0.0
-    windows: list[float] = []
+    missed_shares: list[float] = []
     for now in range(RUN_SECONDS):
-        _come_up(zones, now)
+        _finish_boots(zones, now)
         if now in load.reclaims:
-            _reclaim(zones, now + load.dry_seconds)
+            _reclaim(zones, now + load.unavailable_seconds)
         work = load.offered(now)
         serving = sum(zone.lasting + zone.reclaimable for zone in zones.values())
         lost = max(0.0, work - serving)
         missed, offered = missed + lost, offered + work
-        windows.append(lost / work)
-        paid += _price(zones, scaling)
-        need = memory.note(math.ceil(work), float(now))
-        for plan in policy.plan(scaling, _list_standing(zones, now), need):
+        missed_shares.append(lost / work)
+        paid += _sum_price(zones, scaling)
+        need = peak_need.note(math.ceil(work), float(now))
+        for plan in policy.plan(scaling, _list_upstreams(zones, now), need):
             _order(zones[plan.zone], plan, now, load.boot_seconds)
-    return Outcome(paid / RUN_SECONDS, missed / offered, max(windows))
+    return Outcome(paid / RUN_SECONDS, missed / offered, max(missed_shares))
 
 
-def _list_standing(zones: dict[str, Zone], now: int) -> list[ZoneUpstreams]:
+def _list_upstreams(zones: dict[str, Zone], now: int) -> list[ZoneUpstreams]:
     return [
-        ZoneUpstreams(name, zone.lasting, zone.reclaimable, zone.dry_until > now)
+        ZoneUpstreams(name, zone.lasting, zone.reclaimable, zone.unavailable_until > now)
         for name, zone in zones.items()
     ]
 
 
-def _come_up(zones: dict[str, Zone], now: int) -> None:
+def _finish_boots(zones: dict[str, Zone], now: int) -> None:
     for zone in zones.values():
-        served = [kind for at, kind in zone.coming if at <= now]
-        zone.reclaimable += served.count(True)
-        zone.lasting += served.count(False)
-        zone.coming = [item for item in zone.coming if item[0] > now]
+        booted = [kind for at, kind in zone.pending_boots if at <= now]
+        zone.reclaimable += booted.count(True)
+        zone.lasting += booted.count(False)
+        zone.pending_boots = [item for item in zone.pending_boots if item[0] > now]
 
 
-def _reclaim(zones: dict[str, Zone], dry_until: int) -> None:
+def _reclaim(zones: dict[str, Zone], unavailable_until: int) -> None:
     fullest = max(zones.values(), key=lambda zone: zone.reclaimable)
     fullest.reclaimable = 0
-    fullest.coming = [item for item in fullest.coming if not item[1]]
-    fullest.dry_until = dry_until
+    fullest.pending_boots = [item for item in fullest.pending_boots if not item[1]]
+    fullest.unavailable_until = unavailable_until
 
 
 def _order(zone: Zone, plan: ZonePlan, now: int, boot_seconds: int) -> None:
     for reclaimable, wanted in ((True, plan.reclaimable), (False, plan.lasting)):
-        more = wanted - zone.count(reclaimable)
-        if more > 0 and not (reclaimable and zone.dry_until > now):
-            zone.coming += [(now + boot_seconds, reclaimable)] * more
-        if more < 0 and reclaimable:
-            zone.reclaimable = max(0, zone.reclaimable + more)
-        if more < 0 and not reclaimable:
-            zone.lasting = max(0, zone.lasting + more)
+        difference = wanted - zone.count(reclaimable)
+        if difference > 0 and not (reclaimable and zone.unavailable_until > now):
+            zone.pending_boots += [(now + boot_seconds, reclaimable)] * difference
+        if difference < 0 and reclaimable:
+            zone.reclaimable = max(0, zone.reclaimable + difference)
+        if difference < 0 and not reclaimable:
+            zone.lasting = max(0, zone.lasting + difference)
 
 
-def _price(zones: dict[str, Zone], scaling: Scaling) -> float:
+def _sum_price(zones: dict[str, Zone], scaling: Scaling) -> float:
     return sum(
         zone.lasting * scaling.find_price(name, reclaimable=False)
         + zone.reclaimable * scaling.find_price(name, reclaimable=True)
@@ -177,19 +181,19 @@
 
 
 def compare() -> Iterator[tuple[str, str, Outcome]]:
-    """Yield each load's outcome under each way."""
+    """Yield the name of the load, the name of the policy and the outcome of each pair."""
     for load in LOADS:
         for name, policy in POLICIES.items():
             yield load.name, name, play(load, policy)
 
 
 def measure() -> Iterator[str]:
-    """Return the table of all loads and ways."""
-    yield "| load | way | price a second | missed | worst second |"
+    """Yield the lines of the table of all loads and policies."""
+    yield "| load | policy | price a second | missed | worst second |"
     yield "|---|---|---|---|---|"
-    for load, way, outcome in compare():
+    for load, policy, outcome in compare():
         yield (
-            f"| {load} | {way} | {outcome.price:.1f} | {100 * outcome.missed:.1f} % "
+            f"| {load} | {policy} | {outcome.price:.1f} | {100 * outcome.missed:.1f} % "
             f"| {100 * outcome.worst:.0f} % |"
         )
 
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,4 +1,4 @@
-"""CPU and memory of accepting and applying configuration, over three sizes of the fleet."""
+"""CPU and memory of accepting and applying configuration, for several fleet sizes."""
 
 import hashlib
 import time
@@ -13,12 +13,13 @@
 from swifttrestle.internal.state.config import ConfigStore
 from swifttrestle.resources import Resource
 
+# Numbers of upstreams and of workspaces.
 SIZES = ((1000, 31), (3000, 93), (10_000, 310))
 MODELS, ZONES = 11, 13
 
 
 def make_objects(upstreams: int, workspaces: int) -> list[StoredObject]:
-    """Return operators' objects of a fleet of a size."""
+    """Return the operators' objects of a fleet."""
     found = []
     for n in range(MODELS):
         spec = {"versions": ["v1"], "version": "v1"}
@@ -46,7 +47,7 @@
         accepted: dict[str, Resource] = decide_acceptance(objects, {}).accepted
         began = time.process_time()
         decide_acceptance(objects, accepted)
-        judged = time.process_time()
+        decided = time.process_time()
         shards = split_shards(accepted)
         split = time.process_time()
         store = ConfigStore()
@@ -54,12 +55,13 @@
         applied = time.process_time()
         name = max(shards, key=lambda n: len(shards[n]))
         store.apply([ShardCopy(name, 2, shards[name])])
-        once = time.process_time()
+        shard_applied = time.process_time()
         largest = len(orjson.dumps(shards[name])) / 1000
         memory = psutil.Process().memory_info().rss / 1e6
         print(
-            f"| {upstreams} | {workspaces} | {judged - began:.2f} | {split - judged:.2f} | "
-            f"{applied - split:.2f} | {largest:.0f} | {once - applied:.3f} | {memory:.0f} |"
+            f"| {upstreams} | {workspaces} | {decided - began:.2f} | {split - decided:.2f} | "
+            f"{applied - split:.2f} | {largest:.0f} | {shard_applied - applied:.3f} | "
+            f"{memory:.0f} |"
         )
 
 
--- a/bench/division.py
+++ b/bench/division.py
@@ -1,9 +1,9 @@
-"""How much of shared prompts is read again, by how schedulers divide the work of a service.
+"""Repeated prefill of shared prompt parts, by how a service's prompts are divided among schedulers.
 
-A model in simulated time of a service's reading engines, driven by the policies in use: a prompt
-is booked by one scheduler, which knows its own bookings alone; engines keep parts up to their
-memory, the least recently used ones giving way. What is left out: queues of waiting requests,
-decoding, and the age of what schedulers report to each other of open work.
+A simulation in virtual time of a service's prefill engines that runs the production policies. Each
+prompt is booked by one scheduler, which knows only its own bookings; engines cache prompt parts
+with LRU eviction. Not modelled: queues of waiting requests, decode, and the delay of the reports
+of open work between schedulers.
 """
 
 import heapq
@@ -26,18 +26,18 @@
 SERVICE = "s"
 # Simulated seconds of a run.
 RUN_SECONDS = 30.0
-# Share of the longest wait that is allowed at another zone's engine, as booking has it.
+# Share of the maximum wait that is allowed at another zone's engine, as in booking.
 FAR_SHARE = 0.5
-# A document's tokens spread around their mean by this standard deviation of their logarithm.
-SPREAD = 0.7
-# The mean of such sizes over their median.
-MEAN_FACTOR = math.exp(SPREAD**2 / 2)
+# Document sizes are log-normal: standard deviation of the logarithm of their tokens.
+SIZE_SIGMA = 0.7
+# Ratio of the mean to the median of these sizes.
+MEAN_FACTOR = math.exp(SIZE_SIGMA**2 / 2)
 SLOTS = 64
 
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of prompts; `rate` a second in all zones, sizes in tokens, objective in seconds."""
+    """A kind of prompts; `rate` per second in all zones, sizes in tokens, objective in seconds."""
 
     name: str
     rate: float
@@ -48,8 +48,8 @@
 
 
 @dataclass(frozen=True)
-class Shape:
-    """A service's reading engines by zone, and what callers ask of it."""
+class Workload:
+    """Numbers of a service's prefill engines per zone, and the kinds of prompts that it gets."""
 
     name: str
     zones: tuple[int, ...]
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Story:
-    """What happens half way: engines that are lost, and the share of prompts of one document."""
+    """Events at half time: lost engines, and the share of prompts that use one popular document."""
 
     name: str
     lost_engines: int = 0
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """One prompt as it arrives at a host of `zone`, at simulated seconds."""
+    """A prompt that arrives at a host of `zone`; `at` in simulated seconds."""
 
     at: float
     zone: str
@@ -79,12 +79,12 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of all its parts."""
+        """Total tokens of its parts."""
         return sum(item.tokens for item in self.parts)
 
 
 class Division(ABC):
-    """How prompts are divided between the schedulers of zones."""
+    """Strategy that divides prompts among the schedulers of the zones."""
 
     name = ""
 
@@ -104,12 +104,12 @@
 
 
 class ByPart(Division):
-    """The scheduler of the shared part's home books a prompt."""
+    """The scheduler of the shared part's home zone books a prompt."""
 
     name = "shared part's home"
 
     def choose(self, prompt: Prompt, engines: Sequence[Instance], zones: Sequence[str]) -> str:
-        """Return the first home of the prompt."""
+        """Return the first home zone of the prompt."""
         weights = count_engines_by_zone(engines, zones)
         effective_read_rate = max(item.effective_read_rate for item in engines)
         return list_home_zones(prompt.parts, weights, effective_read_rate, prompt.zone)[0]
@@ -117,76 +117,83 @@
 
 @dataclass
 class Result:
-    """Tokens read, those of shared parts read again, prompts by outcome, and arrivals by engine."""
+    """Counts of a run.
+
+    Prompts: all, `in_time`, `refused`, and booked in another zone than the caller's (`other_zone`).
+    Tokens: prefilled (`read`), of shared parts prefilled repeatedly (`reread`) and for the first
+    time (`first_read`).
+    """
 
     prompts: int = 0
     in_time: int = 0
     refused: int = 0
-    crossed: int = 0
+    other_zone: int = 0
     read: int = 0
-    again: int = 0
-    least: int = 0
+    reread: int = 0
+    first_read: int = 0
     arrivals: Counter[str] = field(default_factory=Counter)
 
     @property
     def again_share(self) -> float:
-        """Share of the tokens read that were shared and had been read before."""
-        return self.again / max(1, self.read)
+        """Share of the prefilled tokens that repeat an earlier prefill of a shared part."""
+        return self.reread / max(1, self.read)
 
     @property
     def in_time_share(self) -> float:
-        """Share of the prompts that were read in time."""
+        """Share of the prompts whose prefill ended in time."""
         return self.in_time / max(1, self.prompts)
 
     @property
-    def unevenness(self) -> float:
-        """Arrivals at the busiest engine over those at the average one."""
+    def peak_to_mean(self) -> float:
+        """Ratio of the arrivals at the busiest engine to the mean."""
         return max(self.arrivals.values()) * len(self.arrivals) / sum(self.arrivals.values())
 
 
 class Run:
-    """One run of a shape and a story under a division."""
+    """One simulation of a workload with a story of failures under a division."""
 
     def __init__(
-        self, shape: Shape, story: Story, division: Division, seed: int, seconds: float
+        self, workload: Workload, story: Story, division: Division, seed: int, seconds: float
     ) -> None:
-        """Prepare; a run depends on its seed alone."""
+        """Prepare a run, which is determined by its seed."""
         self._seconds = seconds
-        self._shape = shape
+        self._workload = workload
         self._division = division
         self._rng = random.Random(seed)
         self._story = story
-        self._zones = [f"z{number}" for number in range(len(shape.zones))]
+        self._zones = [f"z{number}" for number in range(len(workload.zones))]
         # Each zone's scheduler has its own view of every engine.
         self._views = {zone: self._make_engines() for zone in self._zones}
-        self._kept = {name: PromptCache() for name in self._views[self._zones[0]]}
-        self._busy_until = dict.fromkeys(self._kept, 0.0)
-        self._ends: list[tuple[float, int, Callable[[], None]]] = []
+        self._caches = {name: PromptCache() for name in self._views[self._zones[0]]}
+        self._busy_until = dict.fromkeys(self._caches, 0.0)
+        self._completions: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         self._seen: set[str] = set()
         self.result = Result()
 
     def play(self) -> Result:
-        """Play all arrivals; return what came of them."""
+        """Simulate all arrivals and return the counts."""
         lost = False
         for prompt in self._make_prompts():
             if not lost and prompt.at > self._seconds / 2:
                 lost = True
-                self._lose()
-            while self._ends and self._ends[0][0] <= prompt.at:
-                heapq.heappop(self._ends)[2]()
+                self._fail_engines()
+            while self._completions and self._completions[0][0] <= prompt.at:
+                heapq.heappop(self._completions)[2]()
             self._serve(prompt)
         return self.result
 
     def _make_prompts(self) -> list[Prompt]:
-        """Return the prompts of the run in the order of their arrival."""
-        prompts = [prompt for kind in self._shape.kinds for prompt in self._make_kind(kind)]
+        """Return the prompts of the run in order of arrival."""
+        prompts = [
+            prompt for kind in self._workload.kinds for prompt in self._make_prompts_of_kind(kind)
+        ]
         return sorted(prompts, key=lambda prompt: prompt.at)
 
-    def _make_kind(self, kind: Kind) -> Iterator[Prompt]:
+    def _make_prompts_of_kind(self, kind: Kind) -> Iterator[Prompt]:
         rng = self._rng
         sizes = [
-            max(16, int(rng.lognormvariate(0, SPREAD) * kind.document_tokens / MEAN_FACTOR))
+            max(16, int(rng.lognormvariate(0, SIZE_SIGMA) * kind.document_tokens / MEAN_FACTOR))
             for _ in range(kind.documents)
         ]
         at = 0.0
@@ -202,19 +209,19 @@
 
     def _make_engines(self) -> dict[str, Instance]:
         engines = {}
-        for zone, count in zip(self._zones, self._shape.zones, strict=True):
+        for zone, count in zip(self._zones, self._workload.zones, strict=True):
             for number in range(count):
                 name = f"{zone}-{number}"
                 address = ("10.0.0.1", 80)
                 record = UpstreamRecord(name, SERVICE, address, zone, SLOTS, False, Role.PREFILL)
-                engines[name] = Instance(record, read_rate=self._shape.effective_read_rate)
+                engines[name] = Instance(record, read_rate=self._workload.effective_read_rate)
         return engines
 
-    def _lose(self) -> None:
-        """Lose what the story says: whole zones, or single engines of the first one."""
-        gone = set(self._zones[: self._story.lost_zones])
-        names = [name for name in self._kept if name.rpartition("-")[0] in gone]
-        names += list(self._kept)[: self._story.lost_engines]
+    def _fail_engines(self) -> None:
+        """Remove the zones and engines that the story loses."""
+        lost_zones = set(self._zones[: self._story.lost_zones])
+        names = [name for name in self._caches if name.rpartition("-")[0] in lost_zones]
+        names += list(self._caches)[: self._story.lost_engines]
         for view in self._views.values():
             for name in names:
                 view.pop(name, None)
@@ -225,21 +232,21 @@
         zones = sorted({item.record.zone for item in view.values()})
         home = self._division.choose(prompt, list(view.values()), zones)
         engines = list(self._views[home].values())
-        reader = self._pick(prompt, engines, home)
-        if reader is None:
+        prefill_engine = self._pick_engine(prompt, engines, home)
+        if prefill_engine is None:
             self.result.refused += 1
             return
-        self.result.crossed += home != prompt.zone
-        self.result.arrivals[reader.name] += 1
-        self._read(prompt, reader, engines)
+        self.result.other_zone += home != prompt.zone
+        self.result.arrivals[prefill_engine.name] += 1
+        self._prefill(prompt, prefill_engine, engines)
 
-    def _pick(self, prompt: Prompt, engines: list[Instance], home: str) -> Instance | None:
+    def _pick_engine(self, prompt: Prompt, engines: list[Instance], home: str) -> Instance | None:
         sources = list_sources(engines, prompt.parts, ())
         latest = prompt.kind.objective * PREFILL_DEADLINE_SHARE
         near = [item for item in engines if item.record.zone == home]
         far = [item for item in engines if item.record.zone != home]
         for choice, share in ((near, 1.0), (far, FAR_SHARE)):
-            reader = pick_prefill_engine(
+            prefill_engine = pick_prefill_engine(
                 choice,
                 prompt.tokens,
                 prompt.parts[-2].part,
@@ -247,56 +254,60 @@
                 prompt.at,
                 latest * share,
                 prompt.parts,
-                lambda item, kept: plan_fetch(item, kept, sources, self._shape.traits),
+                lambda item, cached_tokens: plan_fetch(
+                    item, cached_tokens, sources, self._workload.traits
+                ),
                 latest,
             )
-            if reader is not None:
-                return reader
+            if prefill_engine is not None:
+                return prefill_engine
         return None
 
-    def _read(self, prompt: Prompt, reader: Instance, engines: list[Instance]) -> None:
-        """Have a prompt read: by what is believed for the count, by what is kept for the time."""
+    def _prefill(self, prompt: Prompt, prefill_engine: Instance, engines: list[Instance]) -> None:
+        """Simulate a prefill: booked by the estimated cache state, timed by the actual one."""
         sources = list_sources(engines, prompt.parts, ())
-        believed = reader.cache.count(prompt.parts)
-        fetch = plan_fetch(reader, believed, sources, self._shape.traits)
+        estimated_tokens = prefill_engine.cache.count(prompt.parts)
+        fetch = plan_fetch(prefill_engine, estimated_tokens, sources, self._workload.traits)
         copied = fetch.tokens if fetch else 0
-        work = OpenWork(max(0, prompt.tokens - believed - copied), 1)
+        work = OpenWork(max(0, prompt.tokens - estimated_tokens - copied), 1)
         for view in self._views.values():
-            view[reader.name].own = view[reader.name].own.plus(work)
-        kept = self._kept[reader.name]
-        had = kept.count(prompt.parts)
+            view[prefill_engine.name].own = view[prefill_engine.name].own.plus(work)
+        actual_cache = self._caches[prefill_engine.name]
+        cached_tokens = actual_cache.count(prompt.parts)
         if fetch is not None:
-            had = max(had, self._kept[fetch.source.name].count_read(prompt.parts))
-        self._count(prompt, had)
-        seconds = (prompt.tokens - had) / self._shape.effective_read_rate + (
+            cached_tokens = max(
+                cached_tokens, self._caches[fetch.source.name].count_read(prompt.parts)
+            )
+        self._count_tokens(prompt, cached_tokens)
+        seconds = (prompt.tokens - cached_tokens) / self._workload.effective_read_rate + (
             fetch.seconds if fetch else 0.0
         )
-        end = max(prompt.at, self._busy_until[reader.name]) + seconds
-        self._busy_until[reader.name] = end
+        end = max(prompt.at, self._busy_until[prefill_engine.name]) + seconds
+        self._busy_until[prefill_engine.name] = end
         self.result.in_time += end - prompt.at <= prompt.kind.objective * PREFILL_DEADLINE_SHARE
-        reader.cache.note(prompt.parts, self._shape.traits.kv_tokens)
-        kept.note(prompt.parts, self._shape.traits.kv_tokens, read=True)
+        prefill_engine.cache.note(prompt.parts, self._workload.traits.kv_tokens)
+        actual_cache.note(prompt.parts, self._workload.traits.kv_tokens, read=True)
 
         def finish() -> None:
-            reader.cache.note(prompt.parts, self._shape.traits.kv_tokens, read=True)
+            prefill_engine.cache.note(prompt.parts, self._workload.traits.kv_tokens, read=True)
             for view in self._views.values():
-                if reader.name in view:
-                    view[reader.name].own = view[reader.name].own.minus(work)
+                if prefill_engine.name in view:
+                    view[prefill_engine.name].own = view[prefill_engine.name].own.minus(work)
 
-        heapq.heappush(self._ends, (end, next(self._numbers), finish))
+        heapq.heappush(self._completions, (end, next(self._numbers), finish))
 
-    def _count(self, prompt: Prompt, had: int) -> None:
-        """Count the tokens beyond those that the reader had, and which were read before."""
+    def _count_tokens(self, prompt: Prompt, cached_tokens: int) -> None:
+        """Count the tokens that were not cached, and those of them prefilled before."""
         before = 0
         for number, item in enumerate(prompt.parts):
             shared = number < len(prompt.parts) - 1
-            read = max(0, min(item.tokens, before + item.tokens - had))
+            read = max(0, min(item.tokens, before + item.tokens - cached_tokens))
             before += item.tokens
             self.result.read += read
             if shared and item.part in self._seen:
-                self.result.again += read
+                self.result.reread += read
             elif shared:
-                self.result.least += item.tokens
+                self.result.first_read += item.tokens
             self._seen.add(item.part)
 
 
@@ -304,7 +315,7 @@
     return EngineTraits(SLOTS, memory, kilobytes * 1000, gigabits * 1.25e8, 5.0, 3.0)
 
 
-SCREENING = Shape(
+SCREENING = Workload(
     "45 engines, 3 zones, long histories",
     (15, 15, 15),
     _make_traits(441_615, 163.84, 1500),
@@ -315,14 +326,14 @@
         Kind("note", 124.0, 750, 140, 1320, 0.326),
     ),
 )
-SCORES = Shape(
+SCORES = Workload(
     "25 engines, 5 zones, match logs",
     (5, 5, 5, 5, 5),
     _make_traits(305_000, 131.072, 8800),
     307_000.0,
     (Kind("log", 210.0, 4355, 3780, 5410, 0.218),),
 )
-SMALL = Shape(
+SMALL = Workload(
     "8 engines, 2 zones, long histories",
     (4, 4),
     SCREENING.traits,
@@ -332,7 +343,7 @@
         for kind in SCREENING.kinds
     ),
 )
-SHAPES = (SCREENING, SCORES, SMALL)
+WORKLOADS = (SCREENING, SCORES, SMALL)
 STORIES = (
     Story("calm"),
     Story("an engine lost", lost_engines=1),
@@ -344,24 +355,24 @@
 
 
 def play(
-    shape: Shape,
+    workload: Workload,
     story: Story,
     division: Division,
     seed: int = 1,
     seconds: float = RUN_SECONDS,
 ) -> Result:
-    """Play one run."""
-    return Run(shape, story, division, seed, seconds).play()
+    """Simulate one run."""
+    return Run(workload, story, division, seed, seconds).play()
 
 
 def main() -> None:
-    """Print a table over shapes, stories and divisions."""
-    for shape, story, division in itertools.product(SHAPES, STORIES, DIVISIONS):
-        found = play(shape, story, division)
+    """Print a table of all workloads, stories and divisions."""
+    for workload, story, division in itertools.product(WORKLOADS, STORIES, DIVISIONS):
+        found = play(workload, story, division)
         print(
-            f"{shape.name:36} {story.name:20} {division.name:19} "
-            f"read {found.read / 1e6:5.1f} M, again {found.again / 1e6:5.1f} M "
-            f"({100 * found.again_share:2.0f} in 100), once {found.least / 1e6:4.1f} M, "
+            f"{workload.name:36} {story.name:20} {division.name:19} "
+            f"read {found.read / 1e6:5.1f} M, again {found.reread / 1e6:5.1f} M "
+            f"({100 * found.again_share:2.0f} in 100), once {found.first_read / 1e6:4.1f} M, "
             f"in time {found.in_time_share:.3f}, refused {found.refused / found.prompts:.3f}, "
-            f"busiest {found.unevenness:.2f}"
+            f"busiest {found.peak_to_mean:.2f}"
         )
--- a/bench/drain.py
+++ b/bench/drain.py
@@ -1,6 +1,6 @@
-"""A cheap caller for the relay bench: opens many streams and counts tokens until they end.
+"""Low-overhead caller for the relay benchmark: opens many streams and counts their tokens.
 
-Run as a process of its own, so that its work is not counted as the entry's.
+Runs in a separate process, so that its CPU time is not counted as the entry's.
 """
 
 import json
@@ -13,12 +13,12 @@
 from swifttrestle.internal.checks import parse_address
 
 READ_BYTES = 1 << 18
-MARK = b'"offset":'
-DONE = b"data: [DONE]"
+TOKEN_MARK = b'"offset":'
+DONE_MARK = b"data: [DONE]"
 
 
 def open_stream(address: str, path: str, headers: str, body: bytes) -> socket.socket:
-    """Send one request and return its socket, set not to block."""
+    """Send one request and return its non-blocking socket."""
     sock = socket.create_connection(parse_address(address), 30)
     head = f"POST {path} HTTP/1.1\r\nHost: bench\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     sock.sendall(head.encode() + body)
@@ -26,14 +26,14 @@
     return sock
 
 
-def drain(sockets: list[socket.socket], give_up: float) -> dict[str, float]:
-    """Read all sockets to their ends; return counts of tokens and of whole answers."""
+def drain(sockets: list[socket.socket], deadline: float) -> dict[str, float]:
+    """Read all sockets until they end or the deadline; count tokens and complete answers."""
     selector = selectors.DefaultSelector()
     for opened in sockets:
         selector.register(opened, selectors.EVENT_READ, [b""])
     tokens = whole = 0
     first = last = 0.0
-    while selector.get_map() and time.monotonic() < give_up:
+    while selector.get_map() and time.monotonic() < deadline:
         for key, _ in selector.select(1.0):
             sock = cast(socket.socket, key.fileobj)
             data = sock.recv(READ_BYTES)
@@ -42,16 +42,16 @@
                 sock.close()
                 continue
             joined = key.data[0] + data
-            tokens += joined.count(MARK) - key.data[0].count(MARK)
-            whole += DONE in joined and DONE not in key.data[0]
-            key.data[0] = joined[-len(DONE) :]
+            tokens += joined.count(TOKEN_MARK) - key.data[0].count(TOKEN_MARK)
+            whole += DONE_MARK in joined and DONE_MARK not in key.data[0]
+            key.data[0] = joined[-len(DONE_MARK) :]
             last = time.monotonic()
             first = first or last
     return {"tokens": tokens, "whole": whole, "seconds": last - first}
 
 
 def main() -> None:
-    """Read the job from standard input, open all streams, drain, print the counts."""
+    """Read the job from standard input, read all its streams and print the counts."""
     job = json.loads(sys.stdin.read())
     sockets = [
         open_stream(job["address"], job["path"], job["headers"], body.encode())
--- a/bench/fleetfile.py
+++ b/bench/fleetfile.py
@@ -1,4 +1,4 @@
-"""Resources of a small fleet, declared for benches and tests."""
+"""Resources of a small fleet, for benchmarks and tests."""
 
 import hashlib
 from pathlib import Path
@@ -14,7 +14,7 @@
 def make_resources(
     engines: dict[str, str], zone: str = "a", fencing: str = "checked", **policy: Any
 ) -> list[dict]:
-    """Return one model, one chat service and these engines (name to address)."""
+    """Return resources of one model, one chat service and `engines` (name to address)."""
     digest = hashlib.sha256(KEY.encode()).hexdigest()
     found = [
         {"kind": "Workspace", "name": "bench", "spec": {"key_sha256": [digest]}},
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -1,7 +1,6 @@
-"""Part of the engines breaks and comes back: each guard on and off, in one run.
+"""Goodput while some engines fail and recover, with each guard against failures on and off.
 
-The guards are the paper's (retry budget, capped ejection, slow return, busy is not broken);
-what is kept of them is what these figures support.
+Guards: retry budget, capped ejection, slow re-admission, and busy engines not counted as failed.
 """
 
 import statistics
@@ -15,14 +14,15 @@
 from swifttrestle.internal.policy.routing import LeastPredicted
 from swifttrestle.resources import Policy
 
-BREAK, MEND = 40.0, 80.0
+# Times at which the engines fail and recover, in seconds from the start of a run.
+BREAK_SECONDS, REPAIR_SECONDS = 40.0, 80.0
 BROKEN = ("e0", "e1")
 LOADS = (0.75, 1.0)
 
 
 @dataclass(frozen=True)
 class Case:
-    """One set of guards; `admit_all` takes the room check of admission away as well."""
+    """One set of guards; `admit_all` also disables the capacity check of admission."""
 
     label: str
     guards: Guards
@@ -44,15 +44,15 @@
 
 
 def run_case(case: Case, load: float, seed: int) -> tuple[float, float, float, int, int]:
-    """Return goodput before, during and after the fault, retries, and alert misses."""
+    """Return goodput per second before, during and after the fault, retries and alert misses."""
     engines = [ModelEngine(f"e{n}", speed) for n, speed in enumerate(ASSOCIATION.speeds)]
     policy = Policy(name="default", ejection_cap=case.cap, return_seconds=case.return_seconds)
-    open_door = Policies(LeastPredicted, AdmitAll, FixedRoles)
-    policies = open_door if case.admit_all else POLICIES["in use"]
+    admit_all_policies = Policies(LeastPredicted, AdmitAll, FixedRoles)
+    policies = admit_all_policies if case.admit_all else POLICIES["in use"]
     run = ModelRun(engines, policies, policy, seed, 4)
     run.guards = case.guards
     start = run.clock.time
-    run.broken = {name: (start + BREAK, start + MEND) for name in BROKEN}
+    run.broken = {name: (start + BREAK_SECONDS, start + REPAIR_SECONDS) for name in BROKEN}
     done = run.run(make_trace(ASSOCIATION, load, seed), SECONDS + TAIL_SECONDS)
 
     def goodput(first: float, last: float) -> float:
@@ -61,12 +61,16 @@
 
     misses = sum(1 for r in done if r.kind == "alert" and not r.in_time)
     return (
-        goodput(0, BREAK), goodput(BREAK, MEND), goodput(MEND, SECONDS), run.retries, misses
-    )  # fmt: skip
+        goodput(0, BREAK_SECONDS),
+        goodput(BREAK_SECONDS, REPAIR_SECONDS),
+        goodput(REPAIR_SECONDS, SECONDS),
+        run.retries,
+        misses,
+    )
 
 
 def main() -> None:
-    """Print the table: medians over the seeds, misses as a sum."""
+    """Print the table: medians over the seeds, and the sum of misses."""
     print("| guards | load | goodput before | during | after | retries | alert misses |")
     print("|---|---|---|---|---|---|---|")
     with ProcessPoolExecutor(6) as workers:
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,9 +1,9 @@
-"""Ways in which hosts may keep together to the requests a second that an upstream takes.
+"""Policies by which hosts share the requests per second that an upstream accepts.
 
-A model in simulated time. Requests that want the upstream come to hosts at random, more than it
-takes. Datagrams are lost at times; hosts die, start anew, and hear of that late. What an upstream
-gets is counted in windows, as users judge it. Left out: other upstreams, and how hosts learn the
-limit in the first place (they know it).
+A simulation in virtual time. Requests arrive at random hosts, at a higher rate than the limit.
+Datagrams may be lost; hosts fail and restart, and others learn of it with a delay. Arrivals at the
+upstream are counted in sliding windows. Not modelled: other upstreams, and how hosts learn the
+limit, which they know from the start.
 """
 
 import functools
@@ -26,22 +26,24 @@
 from swifttrestle.internal.state.members import Member
 
 RUN_SECONDS = 30.0
-# Requests a second that want the upstream, as a multiple of its limit and at least.
-PRESSURE = 6.0
-LEAST_PRESSURE = 30.0
+# Offered requests per second: a multiple of the limit, with a minimum.
+DEMAND_FACTOR = 6.0
+MIN_DEMAND_PER_SECOND = 30.0
+# Window in which arrivals are counted, and how many are allowed in it: a share of the limit plus a
+# number of requests.
 WINDOW_SECONDS = 4.0
 ALLOWED_SHARE = 1.5
-ALLOWED_EXTRA = 5.0
-# Seconds for a datagram and its answer, the part of them that is lost, and what a vain one costs.
-ROUND_TRIP = 0.004
+ALLOWED_EXTRA_REQUESTS = 5.0
+# Seconds for a datagram and its answer, the share that is lost, and the retry delay if all fail.
+ROUND_TRIP_SECONDS = 0.004
 LOST_SHARE = 0.03
-VAIN_SECONDS = 0.05
-# Seconds until others know that a host is gone, and that a new one is there.
+FAILED_QUERY_SECONDS = 0.05
+# Seconds until other hosts know that a host is gone, and that a new one has joined.
 GONE_KNOWN_SECONDS = 2.0
 JOIN_KNOWN_SECONDS = 0.6
-# Seconds for which a lost host is away after that is known.
+# Seconds until a lost host restarts, after its loss is known.
 AWAY_SECONDS = 1.0
-# Part of the permits that are used late, and how late at most, in seconds.
+# Share of the permits that are used late, and the maximum delay in seconds.
 LATE_SHARE = 0.2
 LATE_SECONDS = 1.5
 HOSTS = (8, 65, 195)
@@ -52,7 +54,7 @@
 
 @dataclass
 class Host:
-    """One host of the model: whether it serves, and since when others know what it is."""
+    """One simulated host: whether it is up, and whether others know it as up."""
 
     member: Member
     up: bool = True
@@ -63,13 +65,13 @@
 
 @dataclass
 class Fleet:
-    """The hosts, and what each of them believes: changes are known to all at the same time."""
+    """The hosts; changes of membership become known to all of them at the same time."""
 
     hosts: list[Host]
     rng: random.Random
 
     def list_known(self) -> list[Member]:
-        """Return the members as hosts believe them to be."""
+        """Return the members that hosts know as up."""
         return [item.member for item in self.hosts if item.known_up]
 
     def find(self, member: Member) -> Host:
@@ -77,94 +79,94 @@
         return next(item for item in self.hosts if item.member is member)
 
 
-class Way(ABC):
-    """How a host finds out whether it may send."""
+class LimitPolicy(ABC):
+    """Strategy by which a host decides whether it may send a request."""
 
     name = ""
 
     def __init__(self, fleet: Fleet, rate: float) -> None:
-        """Keep to `rate` requests a second together."""
+        """Limit the fleet to `rate` requests per second in total."""
         self.fleet = fleet
         self.rate = rate
 
     @abstractmethod
     def ask(self, host: Host, now: float) -> float:
-        """Return 0 where the host may send, or the seconds after which to ask again."""
+        """Return 0 if the host may send, or the seconds after which to ask again."""
 
-    def forget(self, host: Host) -> None:
-        """Drop what a host that has ended knew."""
+    def drop_state(self, host: Host) -> None:
+        """Discard the state of a host that has ended."""
         host.bucket = None
         host.denied_until = 0.0
 
-    def take_own(self, host: Host, now: float, rate: float) -> float:
-        """Take from the host's own bucket; as one starts, it may send one."""
+    def take_local(self, host: Host, now: float, rate: float) -> float:
+        """Take from the host's own bucket, which starts with one request available."""
         if host.bucket is None:
             host.bucket = TokenBucket(now - 1.0 / rate)
         return host.bucket.take(rate, True, now)
 
 
-class Standing(Way):
-    """The word is not read."""
+class Unlimited(LimitPolicy):
+    """The limit is ignored."""
 
-    name = "as it stands"
+    name = "unlimited"
 
     def ask(self, host: Host, now: float) -> float:
-        """Let all go."""
+        """Allow every request."""
         return 0.0
 
 
-class EqualShares(Way):
-    """Each host keeps to an equal part of the limit."""
+class EqualShares(LimitPolicy):
+    """Each host gets an equal share of the limit."""
 
     name = "equal shares"
 
     def ask(self, host: Host, now: float) -> float:
-        """Take from the host's own part."""
-        return self.take_own(host, now, self.rate / len(self.fleet.list_known()))
+        """Take from the host's share."""
+        return self.take_local(host, now, self.rate / len(self.fleet.list_known()))
 
 
-class RankedShares(Way):
-    """As many hosts as the limit is requests a second share it; all others send nothing."""
+class RankedShares(LimitPolicy):
+    """As many hosts as the limit has whole requests per second share it; others send nothing."""
 
     name = "ranked shares"
 
     def ask(self, host: Host, now: float) -> float:
-        """Take from the part of a host that has one."""
+        """Take from the host's share, if it has one."""
         holders = max(1, int(self.rate))
         known = sorted(self.fleet.list_known(), key=lambda item: rank("limit", item.host))
         if host.member not in known[:holders]:
             return 1.0
-        return self.take_own(host, now, self.rate / holders)
+        return self.take_local(host, now, self.rate / holders)
 
 
-class OneKeeper(Way):
-    """One host counts for all, and the next one where that does not answer."""
+class OneKeeper(LimitPolicy):
+    """The owner by consistent hashing counts for all hosts; the next owner if it is unreachable."""
 
-    name = "one keeper"
+    name = "one owner"
 
     def ask(self, host: Host, now: float) -> float:
-        """Ask the keepers in turn."""
+        """Ask the owners in turn."""
         known = self.fleet.list_known()
         for member in find_owners(known, "upstream", "a"):
-            keeper = self.fleet.find(member)
+            owner = self.fleet.find(member)
             lost = LOST_SHARE**ASK_ATTEMPTS
-            if keeper is not host and (not keeper.up or self.fleet.rng.random() < lost):
+            if owner is not host and (not owner.up or self.fleet.rng.random() < lost):
                 continue
-            if keeper.bucket is None:
-                keeper.bucket = TokenBucket(now)
-            return keeper.bucket.take(self.rate, False, now, find_max_retry_seconds(len(known)))
-        return VAIN_SECONDS
+            if owner.bucket is None:
+                owner.bucket = TokenBucket(now)
+            return owner.bucket.take(self.rate, False, now, find_max_retry_seconds(len(known)))
+        return FAILED_QUERY_SECONDS
 
 
-WAYS: tuple[type[Way], ...] = (Standing, EqualShares, RankedShares, OneKeeper)
+LIMIT_POLICIES: tuple[type[LimitPolicy], ...] = (Unlimited, EqualShares, RankedShares, OneKeeper)
 
 
 @dataclass
 class Run:
-    """One run: what the upstream got, and by how many hosts."""
+    """One run, with the arrivals at the upstream (simulated seconds) and the hosts that sent."""
 
     fleet: Fleet
-    way: Way
+    policy: LimitPolicy
     trouble: bool
     arrivals: list[float] = field(default_factory=list)
     senders: set[str] = field(default_factory=set)
@@ -172,57 +174,59 @@
     _numbers: "itertools.count[int]" = field(default_factory=itertools.count)
 
     def play(self) -> "Run":
-        """Play the run to its end."""
-        self._at(0.0, self._request)
+        """Simulate the run to its end."""
+        self._schedule(0.0, self._request)
         if self.trouble:
-            self._at(RUN_SECONDS / 4, self._lose_keeper)
+            self._schedule(RUN_SECONDS / 4, self._stop_hosts)
         while self._queue and self._queue[0][0] < RUN_SECONDS:
-            at, _, act = heapq.heappop(self._queue)
-            act(at)
+            at, _, action = heapq.heappop(self._queue)
+            action(at)
         return self
 
-    def _at(self, at: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._queue, (at, next(self._numbers), act))
+    def _schedule(self, at: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._queue, (at, next(self._numbers), action))
 
     def _request(self, now: float) -> None:
         rng = self.fleet.rng
-        pressure = max(LEAST_PRESSURE, PRESSURE * self.way.rate)
-        self._at(now + rng.expovariate(pressure), self._request)
+        demand = max(MIN_DEMAND_PER_SECOND, DEMAND_FACTOR * self.policy.rate)
+        self._schedule(now + rng.expovariate(demand), self._request)
         host = rng.choice([item for item in self.fleet.hosts if item.up])
         if now < host.denied_until:
             return
-        seconds = self.way.ask(host, now)
+        seconds = self.policy.ask(host, now)
         if seconds:
             host.denied_until = now + seconds
             return
         late = LATE_SECONDS * rng.random() if rng.random() < LATE_SHARE else 0.0
         self.senders.add(host.member.host)
-        self.arrivals.append(now + ROUND_TRIP + late)
+        self.arrivals.append(now + ROUND_TRIP_SECONDS + late)
 
-    def _lose_keeper(self, now: float) -> None:
-        """End the first keeper, and some others; they start anew a while later."""
+    def _stop_hosts(self, now: float) -> None:
+        """Stop the first owner and some other hosts, and schedule their restarts."""
         first = self.fleet.find(find_owners(self.fleet.list_known(), "upstream", "a")[0])
         lost = {first.member.host: first}
         for item in self.fleet.rng.sample(self.fleet.hosts, len(self.fleet.hosts) // 8):
             lost[item.member.host] = item
         for host in lost.values():
             host.up = False
-            self.way.forget(host)
-            gone = now + GONE_KNOWN_SECONDS
-            back = gone + AWAY_SECONDS
-            self._at(gone, functools.partial(self._know, host, False))
-            self._at(back, functools.partial(self._start, host))
-            self._at(back + JOIN_KNOWN_SECONDS, functools.partial(self._know, host, True))
-
-    def _know(self, host: Host, up: bool, _: float) -> None:
+            self.policy.drop_state(host)
+            known_gone_at = now + GONE_KNOWN_SECONDS
+            restarted_at = known_gone_at + AWAY_SECONDS
+            self._schedule(known_gone_at, functools.partial(self._set_known_up, host, False))
+            self._schedule(restarted_at, functools.partial(self._restart, host))
+            self._schedule(
+                restarted_at + JOIN_KNOWN_SECONDS, functools.partial(self._set_known_up, host, True)
+            )
+
+    def _set_known_up(self, host: Host, up: bool, _: float) -> None:
         host.known_up = up
 
-    def _start(self, host: Host, _: float) -> None:
+    def _restart(self, host: Host, _: float) -> None:
         host.up = True
 
 
 def count_worst(arrivals: list[float]) -> int:
-    """Return the most arrivals in any window."""
+    """Return the maximum number of arrivals in any window."""
     window: deque[float] = deque()
     worst = 0
     for at in sorted(arrivals):
@@ -234,25 +238,28 @@
 
 
 def allow(rate: float) -> float:
-    """Return how many arrivals a window may have."""
-    return ALLOWED_SHARE * rate * WINDOW_SECONDS + ALLOWED_EXTRA
+    """Return the number of arrivals that a window may have under a limit per second."""
+    return ALLOWED_SHARE * rate * WINDOW_SECONDS + ALLOWED_EXTRA_REQUESTS
 
 
-def play(way: type[Way], hosts: int, rate: float, seed: int, trouble: bool = True) -> Run:
-    """Play one run of a way."""
+def play(
+    policy: type[LimitPolicy], hosts: int, rate: float, seed: int, trouble: bool = True
+) -> Run:
+    """Simulate one run of a policy; with `trouble`, some hosts fail and restart."""
     members = [Member(f"h{n}", f"10.0.0.{n}", ZONES[n % len(ZONES)]) for n in range(hosts)]
     fleet = Fleet([Host(item) for item in members], random.Random(seed))
-    return Run(fleet, way(fleet, max(rate, MIN_REQUESTS_PER_SECOND)), trouble).play()
+    return Run(fleet, policy(fleet, max(rate, MIN_REQUESTS_PER_SECOND)), trouble).play()
 
 
 def main() -> None:
-    """Print for each way the worst window beside what is allowed, and how much was used."""
-    print("hosts limit  way            worst allowed  used  hosts that send")
-    for hosts, rate, way in itertools.product(HOSTS, LIMITS, WAYS):
-        runs = [play(way, hosts, rate, seed) for seed in SEEDS]
+    """Print for each policy the worst window, what is allowed, and the used share of the limit."""
+    print("hosts limit  policy         worst allowed  used  hosts that send")
+    for hosts, rate, policy in itertools.product(HOSTS, LIMITS, LIMIT_POLICIES):
+        runs = [play(policy, hosts, rate, seed) for seed in SEEDS]
         worst = max(count_worst(run.arrivals) for run in runs)
         used = sum(len(run.arrivals) for run in runs) / (len(runs) * RUN_SECONDS * rate)
         senders = min(len(run.senders) for run in runs)
         print(
-            f"{hosts:5} {rate:5}  {way.name:14} {worst:5} {allow(rate):7.1f} {used:5.2f}  {senders}"
+            f"{hosts:5} {rate:5}  {policy.name:14} {worst:5} {allow(rate):7.1f} "
+            f"{used:5.2f}  {senders}"
         )
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -1,7 +1,7 @@
-"""Goodput, alerts and role changes through swings of the mix, baselines beside the policies.
+"""Goodput, alerts and role changes under a changing request mix: policies against baselines.
 
-`python -m bench mix` prints a table and writes a report with a plot. Deterministic: a run
-depends on its seed alone, so the figures can be bounded in CI.
+`python -m bench mix` prints a table and writes a report with a plot. Runs are determined by their
+seed, so tests can bound the figures.
 """
 
 import random
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One class of requests: tokens, deadline in seconds, documents that prompts share."""
+    """A kind of requests: mean tokens, deadline in seconds, and documents that prompts share."""
 
     name: str
     prompt: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One user's fleet and mix; `rate` is the requests a second at about its capacity."""
+    """A fleet and its request mix; `rate` is about its capacity, in requests per second."""
 
     name: str
     speeds: tuple[float, ...]
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one run gave; goodput in answers in time a second."""
+    """Figures of one run; goodput is the number of answers in time per second."""
 
     goodput: float
     offered: float
@@ -105,20 +105,20 @@
     hit_share: float
 
 
-def make_trace(place: Deployment, load: float, seed: int) -> list[Request]:
-    """Return the arrivals of a run: the mix swings between long prompts and short replies."""
+def make_trace(deployment: Deployment, load: float, seed: int) -> list[Request]:
+    """Return the requests of a run; the mix alternates between long and short prompts."""
     rng = random.Random(seed)
     trace: list[Request] = []
     at = 0.0
     while True:
-        at += rng.expovariate(place.rate * load)
+        at += rng.expovariate(deployment.rate * load)
         if at >= SECONDS:
             return trace
         swing = int(at / SWING_SECONDS) % 2
         share = 0.75 if swing == 0 else 0.1
-        kind = place.long if rng.random() < share else place.short
+        kind = deployment.long if rng.random() < share else deployment.short
         if rng.random() < 0.06:
-            kind = place.alert
+            kind = deployment.alert
         trace.append(_make_request(kind, at, rng))
 
 
@@ -128,39 +128,41 @@
     blocks = prompt // 32
     document = rng.randrange(kind.documents)
     common = int(blocks * kind.shared)
-    base = _mix(kind.name, document)
+    base = _make_block_base(kind.name, document)
     own = rng.getrandbits(30)
-    named = [base + n for n in range(common)] + [own * 4096 + n for n in range(blocks - common)]
+    block_ids = [base + n for n in range(common)] + [own * 4096 + n for n in range(blocks - common)]
     work = RequestEstimate(prompt, output, kind.priority)
-    return Request(kind.name, work, kind.deadline, tuple(named), at)
+    return Request(kind.name, work, kind.deadline, tuple(block_ids), at)
 
 
-def _mix(name: str, document: int) -> int:
+def _make_block_base(name: str, document: int) -> int:
     return (sum(name.encode()) * 1000 + document) * 100_000
 
 
-def run_once(place: Deployment, label: str, load: float, seed: int) -> tuple[Outcome, ModelRun]:
-    """Play one trace under one set of policies."""
-    engines = [ModelEngine(f"e{n}", speed) for n, speed in enumerate(place.speeds)]
+def run_once(
+    deployment: Deployment, label: str, load: float, seed: int
+) -> tuple[Outcome, ModelRun]:
+    """Simulate one trace under one set of policies."""
+    engines = [ModelEngine(f"e{n}", speed) for n, speed in enumerate(deployment.speeds)]
     policy = Policy(
-        name="default", role_change_weight=place.role_change_weight, role_dwell_seconds=30
+        name="default", role_change_weight=deployment.role_change_weight, role_dwell_seconds=30
     )
     run = ModelRun(engines, POLICIES[label], policy, seed, ENTRIES)
-    done = run.run(make_trace(place, load, seed), SECONDS + TAIL_SECONDS)
-    return _sum_up(place, run, done), run
+    done = run.run(make_trace(deployment, load, seed), SECONDS + TAIL_SECONDS)
+    return _summarize(deployment, run, done), run
 
 
-def _sum_up(place: Deployment, run: ModelRun, done: list[Request]) -> Outcome:
-    alerts = [request for request in done if request.kind == place.alert.name]
-    late = sorted((r.done_at - r.at) if r.done_at else 99.0 for r in alerts)
+def _summarize(deployment: Deployment, run: ModelRun, done: list[Request]) -> Outcome:
+    alerts = [request for request in done if request.kind == deployment.alert.name]
+    latencies = sorted((r.done_at - r.at) if r.done_at else 99.0 for r in alerts)
     prompts = sum(r.work.prompt_tokens for r in done if r.outcome == "done")
     return Outcome(
         sum(1 for request in done if request.in_time) / SECONDS,
         len(done) / SECONDS,
         sum(1 for request in alerts if not request.in_time),
         len(alerts),
-        late[len(late) // 2],
-        late[int(len(late) * 0.99)],
+        latencies[len(latencies) // 2],
+        latencies[int(len(latencies) * 0.99)],
         run.role_changes,
         run.retries,
         sum(1 for request in done if request.outcome == "shed"),
@@ -168,25 +170,26 @@
     )
 
 
-def run_all(place: Deployment) -> dict[tuple[str, float], list[Outcome]]:
+def run_all(deployment: Deployment) -> dict[tuple[str, float], list[Outcome]]:
     """Run every set of policies at every load and seed."""
     keys = [(label, load) for label in POLICIES for load in LOADS]
     with ProcessPoolExecutor(6) as workers:
         tasks = {
-            key: [workers.submit(measure_once, place, *key, seed) for seed in SEEDS] for key in keys
+            key: [workers.submit(measure_once, deployment, *key, seed) for seed in SEEDS]
+            for key in keys
         }
         return {key: [task.result() for task in found] for key, found in tasks.items()}
 
 
-def measure_once(place: Deployment, label: str, load: float, seed: int) -> Outcome:
-    """Play one trace and return its figures alone."""
-    return run_once(place, label, load, seed)[0]
+def measure_once(deployment: Deployment, label: str, load: float, seed: int) -> Outcome:
+    """Simulate one trace and return only its figures."""
+    return run_once(deployment, label, load, seed)[0]
 
 
-def write_table(place: Deployment, found: dict[tuple[str, float], list[Outcome]]) -> str:
-    """Return a Markdown table: medians over the seeds, goodput with its spread."""
+def write_table(deployment: Deployment, found: dict[tuple[str, float], list[Outcome]]) -> str:
+    """Return a Markdown table of medians over the seeds, and the range of goodput."""
     lines = [
-        f"## {place.name}",
+        f"## {deployment.name}",
         "",
         "| policies | load | goodput/s (least-most) | offered/s | alert misses | alert p50 s | "
         "alert p99 s | role changes | retries | shed | prefix hits |",
@@ -195,23 +198,24 @@
     for (label, load), outcomes in found.items():
         goodputs = [outcome.goodput for outcome in outcomes]
 
-        def middle(name: str, outcomes: list[Outcome] = outcomes) -> float:
+        def find_median(name: str, outcomes: list[Outcome] = outcomes) -> float:
             return statistics.median(getattr(outcome, name) for outcome in outcomes)
 
         misses = sum(outcome.alert_misses for outcome in outcomes)
         alerts = sum(outcome.alerts for outcome in outcomes)
         lines.append(
             f"| {label} | {load:g} | {statistics.median(goodputs):.1f} "
-            f"({min(goodputs):.1f}-{max(goodputs):.1f}) | {middle('offered'):.1f} | "
-            f"{misses}/{alerts} | {middle('alert_p50'):.2f} | {middle('alert_p99'):.2f} | "
-            f"{middle('role_changes'):g} | {middle('retries'):g} | {middle('shed'):g} | "
-            f"{middle('hit_share'):.2f} |"
+            f"({min(goodputs):.1f}-{max(goodputs):.1f}) | {find_median('offered'):.1f} | "
+            f"{misses}/{alerts} | {find_median('alert_p50'):.2f} | "
+            f"{find_median('alert_p99'):.2f} | {find_median('role_changes'):g} | "
+            f"{find_median('retries'):g} | {find_median('shed'):g} | "
+            f"{find_median('hit_share'):.2f} |"
         )
     return "\n".join(lines) + "\n"
 
 
 def draw_plot(found: dict[str, dict[tuple[str, float], list[Outcome]]], path: Path) -> None:
-    """Draw goodput over load, one panel a deployment."""
+    """Plot goodput over load, one panel per deployment."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -220,8 +224,10 @@
     figure, panels = pyplot.subplots(1, len(found), figsize=(12, 4.5), sharey=True)
     for panel, (name, outcomes) in zip(panels, found.items(), strict=True):
         for label in POLICIES:
-            middle = [statistics.median(o.goodput for o in outcomes[label, load]) for load in LOADS]
-            panel.plot(LOADS, middle, marker="o", label=label)
+            medians = [
+                statistics.median(o.goodput for o in outcomes[label, load]) for load in LOADS
+            ]
+            panel.plot(LOADS, medians, marker="o", label=label)
         panel.set_title(name)
         panel.set_xlabel("load as a share of capacity")
     panels[0].set_ylabel("answers whole and in time, a second")
@@ -233,8 +239,10 @@
 def main() -> None:
     """Run both deployments and write the report."""
     REPORTS.mkdir(exist_ok=True)
-    found = {place.name: run_all(place) for place in (ASSOCIATION, TRUST)}
-    tables = [write_table(place, found[place.name]) for place in (ASSOCIATION, TRUST)]
+    found = {deployment.name: run_all(deployment) for deployment in (ASSOCIATION, TRUST)}
+    tables = [
+        write_table(deployment, found[deployment.name]) for deployment in (ASSOCIATION, TRUST)
+    ]
     text = (
         "# Goodput through swings of the mix\n\n"
         f"Seeds {SEEDS}, {SECONDS:g} s a run, the mix swings every {SWING_SECONDS:g} s; "
--- a/bench/model.py
+++ b/bench/model.py
@@ -1,7 +1,7 @@
-"""Small engines and entries in simulated time, driven by the real policies.
+"""Simulated engines and entries in virtual time that run the production policies.
 
-Time is data here: every decision of the policies is made on a clock that the model moves,
-so that a run depends on its seed alone. Engines batch as the stand-in does.
+The policies use the clock of the simulation, so a run is determined by its seed. Engines batch
+requests like the stand-in.
 """
 
 import heapq
@@ -22,33 +22,33 @@
 from swifttrestle.internal.state.upstreams import UpstreamRequirements, UpstreamTable
 from swifttrestle.resources import Model, Policy, ResourceSet, Service, Upstream
 
-CHUNK = 512
-REPORT_EVERY, REPORT_LAG = 0.2, 0.3
-LOOK_EVERY = 0.05
-REJUDGE_SECONDS = 1.0
-EVENT_LAG, EVENT_LOSS = 0.5, 0.05
-AWAY = 3.0
-HOP = 0.0015
-IMPORT_RATE = 200_000.0
-MOST_ATTEMPTS = 3
+PREFILL_CHUNK_TOKENS = 512
+REPORT_INTERVAL_SECONDS, REPORT_LAG_SECONDS = 0.2, 0.3
+RECHECK_INTERVAL_SECONDS = 0.05
+READMIT_INTERVAL_SECONDS = 1.0
+EVENT_LAG_SECONDS, EVENT_LOSS_SHARE = 0.5, 0.05
+ROLE_CHANGE_SECONDS = 3.0
+HOP_SECONDS = 0.0015
+IMPORT_TOKENS_PER_SECOND = 200_000.0
+MAX_ATTEMPTS = 3
 CONNECT_SECONDS = 1.0
 
 
 class ModelClock(Clock):
-    """Time as the model has it."""
+    """The virtual clock of the simulation."""
 
     def __init__(self) -> None:
-        """Start at a time well above nought."""
+        """Create a clock at a time far above zero."""
         self.time = 1000.0
 
     def now(self) -> float:
-        """Return the model's time in seconds."""
+        """Return the virtual time in seconds."""
         return self.time
 
 
 @dataclass(eq=False)
 class Request:
-    """One request and what became of it; times in seconds of the model."""
+    """One request and its progress; times in virtual seconds."""
 
     kind: str
     work: RequestEstimate
@@ -63,7 +63,7 @@
     before: float = 0
     routed_at: float = 0
     first_at: float = 0
-    judged_at: float = 0
+    checked_at: float = 0
     target: str = ""
     prefill_engine: str = ""
     done_at: float | None = None
@@ -71,13 +71,13 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the whole answer came by its deadline."""
+        """Whether the complete answer arrived before the deadline."""
         return self.done_at is not None and self.done_at <= self.at + self.deadline
 
 
 @dataclass(eq=False)
 class ModelEngine:
-    """One engine: `speed` 1 is new hardware, lower is older."""
+    """A simulated engine; `speed` is relative to the fastest hardware."""
 
     name: str
     speed: float
@@ -97,7 +97,7 @@
     closed: bool = False
 
     def take(self, request: Request, imported: bool) -> bool:
-        """Take a request in, or refuse it for load."""
+        """Queue a request; return False if the queue is full."""
         limit = self.slots + self.queue + (self.slots if request.work.priority == "urgent" else 0)
         if len(self.waiting) + len(self.decoding) >= limit:
             return False
@@ -116,8 +116,8 @@
         return True
 
     def step(self, now: float) -> tuple[float, list[Request]]:
-        """Advance by one batch step; return its seconds and the requests that ended."""
-        budget = CHUNK
+        """Run one batch step; return its duration in seconds and the finished requests."""
+        budget = PREFILL_CHUNK_TOKENS
         ended = []
         while self.waiting and budget > 0:
             if self.role != "prefill" and len(self.decoding) >= self.slots:
@@ -129,12 +129,12 @@
             if request.left:
                 break
             self.waiting.pop(0)
-            self._remember(request.blocks, now)
+            self._cache_prompt(request.blocks, now)
             if self.role == "prefill":
                 ended.append(request)
             else:
                 self.decoding.append(request)
-        self.prefilled += CHUNK - budget
+        self.prefilled += PREFILL_CHUNK_TOKENS - budget
         for request in list(self.decoding):
             request.sent += 1
             if request.sent == 1:
@@ -144,10 +144,10 @@
                 self.decoding.remove(request)
                 ended.append(request)
         base = 0.004 if self.role == "prefill" else 0.02
-        seconds = base + 0.0004 * len(self.decoding) + (CHUNK - budget) / 20_000
+        seconds = base + 0.0004 * len(self.decoding) + (PREFILL_CHUNK_TOKENS - budget) / 20_000
         return seconds / self.speed, ended
 
-    def _remember(self, blocks: tuple[int, ...], now: float) -> None:
+    def _cache_prompt(self, blocks: tuple[int, ...], now: float) -> None:
         for block in blocks:
             if block not in self.cache:
                 self.events.append((now, "stored", block))
@@ -158,7 +158,7 @@
             self.events.append((now, "dropped", dropped))
 
     def report(self, now: float) -> LoadReport:
-        """Return the load of this moment."""
+        """Return the current load."""
         holding = Holding("m", "v1", (), self.role)
         state = EngineState(self.name, holding, now < self.away_until, "", 0)
         tokens = sum(request.left for request in self.waiting)
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True)
 class Guards:
-    """Which guards against broken engines are on."""
+    """Enabled guards against failed engines."""
 
     retry_budget: bool = True
     ejection: bool = True
@@ -179,7 +179,7 @@
 
 @dataclass
 class Policies:
-    """What is measured: the decisions, made new for each run."""
+    """Factories of the policies under test, called for each run."""
 
     router: Callable[[], Router]
     admission: Callable[[], Admission]
@@ -187,7 +187,7 @@
 
 
 class ModelRun:
-    """One run of a trace through some entries and engines."""
+    """Simulation of a trace of requests over some entries and engines."""
 
     def __init__(
         self,
@@ -197,7 +197,7 @@
         seed: int,
         entries: int,
     ) -> None:
-        """Prepare; `run` plays a trace."""
+        """Prepare a simulation; `run` executes it."""
         self.clock = ModelClock()
         self.engines = {engine.name: engine for engine in engines}
         self.policy = policy
@@ -212,7 +212,7 @@
         self.service = Service(name="s", type="model", model="m")
         self.tables = [self._make_table() for _ in range(entries)]
         self.routers = [policies.router() for _ in range(entries)]
-        self.lines: list[list[Request]] = [[] for _ in range(entries)]
+        self.queues: list[list[Request]] = [[] for _ in range(entries)]
         self.reports: dict[str, list[LoadReport]] = {name: [] for name in self.engines}
         self.changed: dict[str, float] = {}
         self.guards = Guards()
@@ -230,24 +230,24 @@
         table.configure(ResourceSet(models=models, upstreams=upstreams, policies=policies))
         return table
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Do something later."""
-        item = (self.clock.time + seconds, next(self.numbers), act)
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
+        """Schedule an action after a virtual delay."""
+        item = (self.clock.time + seconds, next(self.numbers), action)
         heapq.heappush(self.events, item)
 
     def run(self, trace: list[Request], seconds: float) -> list[Request]:
-        """Play a trace for so long; return its requests with their outcomes."""
+        """Simulate a trace for `seconds`; return its requests with their outcomes."""
         start = self.clock.time
         for engine in self.engines.values():
-            self._share_report(engine)
+            self._send_report(engine)
         for request in trace:
             request.at += start
-            self.after(request.at - start, lambda r=request: self._arrive(r))  # type: ignore[misc]
-        self.after(LOOK_EVERY, self._look)
-        self.after(0.5, self._plan)
+            self.schedule(request.at - start, lambda r=request: self._arrive(r))  # type: ignore[misc]
+        self.schedule(RECHECK_INTERVAL_SECONDS, self._recheck_waiting)
+        self.schedule(0.5, self._plan)
         while self.events and self.events[0][0] <= start + seconds:
-            self.clock.time, _, act = heapq.heappop(self.events)
-            act()
+            self.clock.time, _, action = heapq.heappop(self.events)
+            action()
         return trace
 
     # Entries.
@@ -258,28 +258,28 @@
         self._admit(request, waiting=False)
 
     def _admit(self, request: Request, waiting: bool) -> bool:
-        """Judge one request; return whether it has left the line."""
-        line = self.lines[request.entry]
+        """Decide on one request; return whether it is sent or rejected instead of waiting."""
+        queue = self.queues[request.entry]
         left = request.at + request.deadline - self.clock.time
         if left <= 0:
             request.outcome = "expired"
             return True
         wanted = UpstreamRequirements(self.service, request.work.prompt_tokens, request.blocks)
         candidates = self.tables[request.entry].candidates(wanted)
-        ahead = line.index(request) if waiting else len(line)
+        ahead = queue.index(request) if waiting else len(queue)
         if request.work.priority == "urgent":
             ahead = 0
-        judged = self.admission.decide(
+        result = self.admission.decide(
             candidates, request.work, left, ahead, self.policy.queue_limit
         )
-        if judged.decision is Decision.GO and self._send(request, judged.available):
+        if result.decision is Decision.GO and self._send(request, result.available):
             return True
-        if judged.decision is Decision.REFUSE:
+        if result.decision is Decision.REFUSE:
             request.outcome = "shed"
             return True
         if not waiting:
-            line.append(request)
-            line.sort(key=lambda r: (r.work.priority != "urgent", r.at + r.deadline))
+            queue.append(request)
+            queue.sort(key=lambda r: (r.work.priority != "urgent", r.at + r.deadline))
         return False
 
     def _send(self, request: Request, available: tuple[Candidate, ...]) -> bool:
@@ -296,7 +296,7 @@
         request.attempts += 1
         first = chosen.prefill_engine or chosen.name
         table.prefixes.note_stored(first, request.blocks)
-        self.after(HOP, lambda: self._deliver(request, first, imported=False))
+        self.schedule(HOP_SECONDS, lambda: self._deliver(request, first, imported=False))
         return True
 
     def _deliver(self, request: Request, name: str, imported: bool) -> None:
@@ -304,23 +304,23 @@
         if self._is_broken(name):
             if self.guards.ejection:
                 self.tables[request.entry].note_failure(name)
-            # A broken engine answers no connection; the entry waits for it in vain.
-            self.after(CONNECT_SECONDS, lambda: self._refused(request))
+            # Connections to a broken engine time out.
+            self.schedule(CONNECT_SECONDS, lambda: self._handle_refusal(request))
             return
-        away = self.clock.time < engine.away_until
-        if away or not engine.take(request, imported):
+        is_changing = self.clock.time < engine.away_until
+        if is_changing or not engine.take(request, imported):
             if not self.guards.busy_is_not_broken:
                 self.tables[request.entry].note_failure(name)
-            self._refused(request)
+            self._handle_refusal(request)
             return
         if not engine.stepping:
             engine.stepping = True
-            self.after(0.0, lambda: self._step(engine))
+            self.schedule(0.0, lambda: self._step(engine))
 
-    def _refused(self, request: Request) -> None:
+    def _handle_refusal(self, request: Request) -> None:
         self.tables[request.entry].end(request.target)
         budget = self.budgets[request.entry]
-        if request.attempts >= MOST_ATTEMPTS or (
+        if request.attempts >= MAX_ATTEMPTS or (
             self.guards.retry_budget and not budget.take(self.clock.time)
         ):
             request.outcome = "shed"
@@ -333,17 +333,17 @@
         start, end = self.broken.get(name, (0.0, 0.0))
         return start <= self.clock.time < end
 
-    def _look(self) -> None:
-        """Let waiting requests be judged again."""
-        for line in self.lines:
-            for place, request in enumerate(list(line)):
-                # As in the product: the first is judged each time, the rest now and then.
-                if place and self.clock.time - request.judged_at < REJUDGE_SECONDS:
+    def _recheck_waiting(self) -> None:
+        """Run admission again for waiting requests."""
+        for queue in self.queues:
+            for position, request in enumerate(list(queue)):
+                # Like in the entry: the first is checked every time, the others less often.
+                if position and self.clock.time - request.checked_at < READMIT_INTERVAL_SECONDS:
                     continue
-                request.judged_at = self.clock.time
+                request.checked_at = self.clock.time
                 if self._admit(request, waiting=True):
-                    line.remove(request)
-        self.after(LOOK_EVERY, self._look)
+                    queue.remove(request)
+        self.schedule(RECHECK_INTERVAL_SECONDS, self._recheck_waiting)
 
     # Engines.
 
@@ -352,18 +352,18 @@
             engine.stepping = False
             return
         seconds, ended = engine.step(self.clock.time)
-        self.after(seconds, lambda: self._step(engine))
+        self.schedule(seconds, lambda: self._step(engine))
         for request in ended:
             if (
                 engine.role == "prefill"
                 and request.sent == 0
                 and request.prefill_engine == engine.name
             ):
-                move = request.work.prompt_tokens / IMPORT_RATE + HOP
+                move = request.work.prompt_tokens / IMPORT_TOKENS_PER_SECOND + HOP_SECONDS
                 target = request.target
-                self.after(move, lambda r=request, t=target: self._deliver(r, t, True))  # type: ignore[misc]
+                self.schedule(move, lambda r=request, t=target: self._deliver(r, t, True))  # type: ignore[misc]
             else:
-                self.after(seconds + HOP, lambda r=request: self._end(r))  # type: ignore[misc]
+                self.schedule(seconds + HOP_SECONDS, lambda r=request: self._end(r))  # type: ignore[misc]
 
     def _end(self, request: Request) -> None:
         request.done_at = self.clock.time
@@ -375,8 +375,8 @@
         decode = request.done_at - request.first_at
         table.note_decode(request.target, request.work.output_tokens, decode)
 
-    def _share_report(self, engine: ModelEngine) -> None:
-        """Take a report now; entries see it once it has lagged."""
+    def _send_report(self, engine: ModelEngine) -> None:
+        """Create a report now and deliver it to the entries after its lag."""
         report = engine.report(self.clock.time)
         events, engine.events = engine.events, []
 
@@ -388,22 +388,22 @@
         def arrive_events() -> None:
             for _, what, block in events:
                 for table in self.tables:
-                    if self.rng.random() < EVENT_LOSS:
+                    if self.rng.random() < EVENT_LOSS_SHARE:
                         continue
                     if what == "stored":
                         table.prefixes.note_stored(engine.name, (block,))
                     else:
                         table.prefixes.note_dropped(engine.name, block)
 
-        self.after(REPORT_LAG if self.clock.time > 1000 else 0, arrive)
-        self.after(EVENT_LAG, arrive_events)
-        self.after(REPORT_EVERY, lambda: self._share_report(engine))
+        self.schedule(REPORT_LAG_SECONDS if self.clock.time > 1000 else 0, arrive)
+        self.schedule(EVENT_LAG_SECONDS, arrive_events)
+        self.schedule(REPORT_INTERVAL_SECONDS, lambda: self._send_report(engine))
 
     # Roles.
 
     def _plan(self) -> None:
-        """Ask the planner, and drain an engine before its role is changed."""
-        self.after(0.5, self._plan)
+        """Run the role planner; drain an engine before changing its role."""
+        self.schedule(0.5, self._plan)
         if any(engine.closed for engine in self.engines.values()):
             return
         loads = [
@@ -431,10 +431,10 @@
         if engine.waiting or engine.decoding or busy:
             for table in self.tables:
                 table.note_refusal(engine.name)
-            self.after(0.1, lambda: self._drain_then_change(engine, role))
+            self.schedule(0.1, lambda: self._drain_then_change(engine, role))
             return
         engine.role = role
         engine.closed = False
-        engine.away_until = self.clock.time + AWAY
+        engine.away_until = self.clock.time + ROLE_CHANGE_SECONDS
         self.changed[engine.name] = self.clock.time
         self.role_changes += 1
--- a/bench/plainloop.py
+++ b/bench/plainloop.py
@@ -1,4 +1,4 @@
-"""The baseline of the relay bench: a plain copy loop of the same libraries, a thread a stream."""
+"""Baseline of the relay benchmark: a copy loop with the same libraries and a thread per stream."""
 
 import sys
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 
 def make_app(upstreams: list[str]) -> Any:
-    """Return a WSGI application that copies an engine's stream chunk by chunk."""
+    """Return a WSGI application that copies streams of the upstreams chunk by chunk."""
     pool = urllib3.PoolManager(maxsize=2000, retries=False)
     turn = 0
 
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Serve until killed; arguments: number of threads, then the upstreams."""
+    """Serve until killed; command line arguments: number of threads, then the upstreams."""
     server = wsgi.Server(("127.0.0.1", 0), make_app(sys.argv[2:]), numthreads=int(sys.argv[1]))
     server.request_queue_size = 1024
     server.prepare()
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -1,9 +1,9 @@
-"""What a request that crashes its engines costs, by the crashes after which it is kept back.
+"""Cost of a request that crashes its engines, by the number of crashes that quarantines it.
 
-A model in simulated time: engines that are away for some seconds after a crash, streams that come
-all the time, are sent on once by their host and once more by their caller, and one deadly request
-that comes again and again. The quarantine is the one in use. What is left out: how long hosts take
-to tell each other (they know at once), and queues.
+A simulation in virtual time: engines are down for some seconds after a crash, streams arrive
+continuously and are retried by their host and by their caller, and one deadly request arrives
+repeatedly. The quarantine is the production one. Not modelled: the delay of crash reports between
+hosts, and queues.
 """
 
 import heapq
@@ -19,53 +19,53 @@
 
 RUN_SECONDS = 60.0
 AWAY_SECONDS = 4.0
-# Seconds from the begin of a deadly run to the crash.
+# Seconds from the start of a deadly run to the crash.
 DEADLY_SECONDS = 0.07
-# Mean seconds of a stream, streams a second, and attempts of the deadly request a second.
+# Mean seconds of a stream, streams per second, and deadly requests per second.
 STREAM_SECONDS = 1.0
 STREAM_RATE = 12.0
 DEADLY_RATE = 3.0
-# Engines that one attempt may go to, and attempts that a caller makes.
+# Engines that a host tries per attempt of the caller, and attempts of the caller.
 ENGINES_PER_ATTEMPT = 2
-ATTEMPTS = 2
-CALLER_PAUSE_SECONDS = 0.1
+CALLER_ATTEMPTS = 2
+CALLER_RETRY_SECONDS = 0.1
 SEEDS = range(1, 21)
-# The crashes to be kept back after that are compared; the last one never comes.
+# Crash counts that quarantine a request; the last one is never reached.
 THRESHOLDS = (1, 2, 3, 10**6)
 ENGINES = (2, 4, 8)
 
 
 @dataclass
 class Request:
-    """One request of a caller, with what is left of its attempts."""
+    """One request of a caller, with its remaining attempts."""
 
     name: RequestFingerprint
     deadly: bool
     seconds: float
     engines_left: int = ENGINES_PER_ATTEMPT
-    attempts_left: int = ATTEMPTS
+    attempts_left: int = CALLER_ATTEMPTS
 
 
 @dataclass
 class Counts:
-    """What a run came to."""
+    """Counts of a run; `quarantined` counts refusals of harmless streams."""
 
     crashes: int = 0
     streams: int = 0
     served: int = 0
-    kept_back: int = 0
+    quarantined: int = 0
 
 
 @dataclass
 class Run:
-    """One run of the model."""
+    """One run of the simulation."""
 
     engines: int
     seed: int
     counts: Counts = field(default_factory=Counts)
 
     def play(self) -> Counts:
-        """Play the run and return what it came to."""
+        """Simulate the run and return its counts."""
         self._rng = random.Random(self.seed)
         self._quarantine = Quarantine(self._rng.random())
         self._numbers = itertools.count()
@@ -73,40 +73,40 @@
         self._starts = [0] * self.engines
         self._open: list[dict[int, Request]] = [{} for _ in range(self.engines)]
         self._events: list[tuple[float, int, object, tuple[object, ...]]] = []
-        self._at(0.0, self._send_stream)
-        self._at(5.0, self._send_deadly)
+        self._schedule(0.0, self._send_stream)
+        self._schedule(5.0, self._send_deadly)
         while self._events and self._events[0][0] < RUN_SECONDS:
-            self._now, _, act, details = heapq.heappop(self._events)
-            assert callable(act)
-            act(*details)
+            self._now, _, action, details = heapq.heappop(self._events)
+            assert callable(action)
+            action(*details)
         return self.counts
 
-    def _at(self, when: float, act: object, *details: object) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), act, details))
+    def _schedule(self, when: float, action: object, *details: object) -> None:
+        heapq.heappush(self._events, (when, next(self._numbers), action, details))
 
     def _send_stream(self) -> None:
         self.counts.streams += 1
         name = RequestFingerprint(bytes(8), self._rng.randbytes(8))
         seconds = self._rng.expovariate(1 / STREAM_SECONDS)
         self._send(Request(name, False, seconds))
-        self._at(self._now + self._rng.expovariate(STREAM_RATE), self._send_stream)
+        self._schedule(self._now + self._rng.expovariate(STREAM_RATE), self._send_stream)
 
     def _send_deadly(self) -> None:
         self._send(Request(RequestFingerprint(bytes(8), b"deadly!!"), True, DEADLY_SECONDS))
-        self._at(self._now + self._rng.expovariate(DEADLY_RATE), self._send_deadly)
+        self._schedule(self._now + self._rng.expovariate(DEADLY_RATE), self._send_deadly)
 
     def _send(self, request: Request) -> None:
         if self._quarantine.find_wait(request.name, self._now) > 0:
-            self.counts.kept_back += not request.deadly
+            self.counts.quarantined += not request.deadly
             return
         up = [number for number in range(self.engines) if self._now >= self._away_until[number]]
         if not up:
-            self._send_by_caller(request)
+            self._retry_by_caller(request)
             return
         engine = min(up, key=lambda number: (len(self._open[number]), self._rng.random()))
         key = next(self._numbers)
         self._open[engine][key] = request
-        self._at(self._now + request.seconds, self._end, engine, self._starts[engine], key)
+        self._schedule(self._now + request.seconds, self._end, engine, self._starts[engine], key)
 
     def _end(self, engine: int, start: int, key: int) -> None:
         if start != self._starts[engine]:
@@ -129,17 +129,17 @@
             if item.engines_left:
                 self._send(item)
             else:
-                self._send_by_caller(item)
+                self._retry_by_caller(item)
 
-    def _send_by_caller(self, request: Request) -> None:
+    def _retry_by_caller(self, request: Request) -> None:
         request.attempts_left -= 1
         request.engines_left = ENGINES_PER_ATTEMPT
         if request.attempts_left and not request.deadly:
-            self._at(self._now + CALLER_PAUSE_SECONDS, self._send, request)
+            self._schedule(self._now + CALLER_RETRY_SECONDS, self._send, request)
 
 
 def run_all(engines: int, threshold: int) -> Counts:
-    """Return what all seeds came to together with a threshold in force."""
+    """Return the summed counts of all seeds under a threshold."""
     total = Counts()
     with mock.patch.object(quarantine, "CRASHES_TO_QUARANTINE", threshold):
         for seed in SEEDS:
@@ -150,7 +150,7 @@
 
 
 def main() -> None:
-    """Print a line for each threshold and number of engines."""
+    """Print a line per threshold and number of engines."""
     print("engines  kept back after  crashes a run  streams not served  of them kept back")
     for engines in ENGINES:
         for threshold in THRESHOLDS:
@@ -159,5 +159,5 @@
             lost = found.streams - found.served
             print(
                 f"{engines:7}  {shown:>15}  {found.crashes / len(SEEDS):13.1f}  "
-                f"{100 * lost / found.streams:17.2f}%  {found.kept_back / len(SEEDS):17.2f}"
+                f"{100 * lost / found.streams:17.2f}%  {found.quarantined / len(SEEDS):17.2f}"
             )
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""CPU of one entry process per relayed token, against a plain copy loop in the same run."""
+"""CPU of one entry process per relayed token, compared with a plain copy loop."""
 
 import json
 import os
@@ -11,19 +11,19 @@
 import psutil
 
 from bench.fleetfile import KEY, declare_fleet
-from swifttrestle_standins.fleet import Fleet, Started, wait_until
+from swifttrestle_standins.fleet import Fleet, ManagedProcess, wait_until
 
-DRAINERS = 3
-LONGEST = 120.0
+READER_PROCESSES = 3
+TIMEOUT_SECONDS = 120.0
 
 
-def run_drainers(address: str, path: str, headers: str, bodies: list[str]) -> dict[str, float]:
-    """Run the callers in processes of their own and add up what they counted."""
+def run_readers(address: str, path: str, headers: str, bodies: list[str]) -> dict[str, float]:
+    """Run callers in separate processes and sum their counts."""
     started = []
-    for part in range(DRAINERS):
+    for part in range(READER_PROCESSES):
         job = {
             "address": address, "path": path, "headers": headers,
-            "bodies": bodies[part::DRAINERS], "seconds": LONGEST,
+            "bodies": bodies[part::READER_PROCESSES], "seconds": TIMEOUT_SECONDS,
         }  # fmt: skip
         process = subprocess.Popen(
             [sys.executable, "-m", "bench.drain"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -44,7 +44,7 @@
 
 
 def measure(pid: int, work: Any) -> dict[str, float]:
-    """Return what the work counted, with the CPU and memory a process spent on it."""
+    """Return the counts of `work`, with the CPU and memory that the process used for it."""
     process = psutil.Process(pid)
     before = process.cpu_times()
     counts = work()
@@ -60,8 +60,8 @@
     }
 
 
-def start_engines(fleet: Fleet, engines: int, streams: int, step: float) -> list[Started]:
-    """Start engines with room for all streams."""
+def start_engines(fleet: Fleet, engines: int, streams: int, step: float) -> list[ManagedProcess]:
+    """Start engines with capacity for all streams."""
     slots = streams // engines * 2 + 8
     return [
         fleet.add_engine(
@@ -92,11 +92,11 @@
         found = {
             "entry": measure(
                 entry.process_id(),
-                lambda: run_drainers(entry.addresses["listen"], "/v1/completions", headers, ask),
+                lambda: run_readers(entry.addresses["listen"], "/v1/completions", headers, ask),
             )
         }
         found["entry"]["idle_memory_mb"] = idle
-        loop = Started("loop", "bench.plainloop", {}, Path(folder) / "loop.log")
+        loop = ManagedProcess("loop", "bench.plainloop", {}, Path(folder) / "loop.log")
         loop.process = subprocess.Popen(
             [sys.executable, "-m", "bench.plainloop", str(streams + 8), *addresses],
             stdout=subprocess.PIPE,
@@ -112,7 +112,7 @@
         ]  # fmt: skip
         found["plain loop"] = measure(
             loop.process.pid,
-            lambda: run_drainers(loop.addresses["listen"], "/", "", raw),
+            lambda: run_readers(loop.addresses["listen"], "/", "", raw),
         )
         loop.kill()
         return found
@@ -124,7 +124,7 @@
 
 
 def main() -> None:
-    """Print one table a load: paced as at the design size, and as fast as it goes."""
+    """Print one table per load: with paced tokens, and at full speed."""
     print(f"cpus {os.cpu_count()}")
     for label, streams, tokens, step in (
         ("1 stream", 1, 400, 0.005),
@@ -134,7 +134,7 @@
         ("2000 streams, 74 ms a token, long", 2000, 560, 0.074),
         ("400 streams, as fast as it goes", 400, 1200, 0.0),
     ):
-        # More engines where the stand-ins themselves would set the pace.
+        # More engines, so that the stand-ins are not the bottleneck.
         found = run_relay(streams, tokens, step, engines=8 if streams >= 2000 else 4)
         print(label)
         for name, row in found.items():
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,6 +1,6 @@
-"""The committed journal as one page: what each standard day was worth, score by score.
+"""Report of the scores in the committed journal: the worth of each standard day.
 
-`python -m bench report` writes bench/reports/days.md and a plot for each site.
+`python -m bench report` writes bench/reports/days.md and a plot per site.
 """
 
 import json
@@ -13,17 +13,17 @@
 ROOT = Path(__file__).parent.parent
 JOURNAL = ROOT / "journal"
 REPORTS = Path(__file__).parent / "reports"
-# Prices that the page shows of each score, the dearest ones of its days together.
+# Number of prices shown per day and in the plot, the highest first.
 SHOWN_PRICES = 6
-# Days that the page names as the weakest of a site's last score.
-WEAKEST_DAYS = 3
-PROCESSOR = "processor seconds"
+# Number of days listed as the lowest of a site's last score.
+LOWEST_DAYS = 3
+PROCESSOR_SECONDS = "processor seconds"
 STORE_CALLS = "cloud calls"
 
 
 @dataclass(frozen=True)
 class Day:
-    """One standard day of a score; a price is its amount and what it took off the worth."""
+    """One standard day of a score; a price is an amount and its deduction from the worth."""
 
     name: str
     worth: float
@@ -31,13 +31,13 @@
     prices: dict[str, tuple[float, float]]
 
     def find_amount(self, price: str) -> float:
-        """Return how much of something the day used, 0 where it has no such price."""
+        """Return the amount behind a price, 0 if the day does not have it."""
         return self.prices.get(price, (0.0, 0.0))[0]
 
 
 @dataclass(frozen=True)
 class Score:
-    """One play of a site's standard days."""
+    """One scored run of a site's standard days."""
 
     site: str
     at: str
@@ -47,18 +47,18 @@
 
     @property
     def mean(self) -> float:
-        """The mean worth of its days."""
+        """Mean worth of the days."""
         return statistics.fmean(day.worth for day in self.days)
 
 
 def read_scores(folder: Path) -> list[Score]:
-    """Return the whole scores of a journal, oldest first."""
+    """Return the complete scores of a journal, oldest first."""
     entries = (json.loads(path.read_text()) for path in sorted(folder.glob("*.json")))
     return [score for entry in entries if (score := read_score(entry)) is not None]
 
 
 def read_score(entry: dict[str, Any]) -> Score | None:
-    """Return the score of one entry; None for a play of another kind, or one that was ended."""
+    """Return the score of an entry; None if it is of another command or was interrupted."""
     if entry["cmd"] != "score" or not entry["site"] or not entry["days"]:
         return None
     days = tuple(_read_day(item) for item in entry["days"])
@@ -72,7 +72,7 @@
 
 
 def write_page(scores: Sequence[Score]) -> str:
-    """Return the page."""
+    """Return the report as Markdown."""
     sites = sorted({score.site for score in scores})
     parts = [write_site(site, [item for item in scores if item.site == site]) for site in sites]
     head = "# What the standard days were worth\n\nMade by `make report` from `journal/`.\n"
@@ -80,7 +80,7 @@
 
 
 def write_site(site: str, scores: Sequence[Score]) -> str:
-    """Return a site's part: a row a score, then what binds its weakest days."""
+    """Return the section of a site: a row per score, then the prices of its lowest days."""
     names = list(dict.fromkeys(day.name for score in scores for day in score.days))
     lines = [
         f"## {site}\n",
@@ -89,7 +89,7 @@
         "|---" * (len(names) + 5) + "|",
     ]
     lines += [_write_row(score, names) for score in scores]
-    return "\n".join([*lines, "", *_write_weakest(scores[-1]), ""])
+    return "\n".join([*lines, "", *_write_lowest_days(scores[-1]), ""])
 
 
 def _write_row(score: Score, names: Iterable[str]) -> str:
@@ -97,7 +97,7 @@
     cells = [_write_worth(days[name]) if name in days else "-" for name in names]
     sums = [
         f"{sum(day.find_amount(price) for day in score.days):.0f}"
-        for price in (PROCESSOR, STORE_CALLS)
+        for price in (PROCESSOR_SECONDS, STORE_CALLS)
     ]
     row = [score.at[:16], score.commit, *cells, f"{score.mean:.3f}", *sums]
     return f"| {' | '.join(row)} |"
@@ -107,18 +107,20 @@
     return f"{day.worth:.3f}" + (f" ({', '.join(day.broken)})" if day.broken else "")
 
 
-def _write_weakest(score: Score) -> list[str]:
-    weakest = sorted(score.days, key=lambda day: day.worth)[:WEAKEST_DAYS]
+def _write_lowest_days(score: Score) -> list[str]:
+    lowest = sorted(score.days, key=lambda day: day.worth)[:LOWEST_DAYS]
     lines = [f"Dearest on the weakest days of the last score ({score.why}):\n"]
-    for day in weakest:
-        dearest = sorted(day.prices.items(), key=lambda item: -item[1][1])[:SHOWN_PRICES]
-        told = ", ".join(f"{name} {cost:.3f}" for name, (_, cost) in dearest if cost >= 0.0005)
-        lines.append(f"- {day.name} ({day.worth:.3f}): {told}")
+    for day in lowest:
+        costliest = sorted(day.prices.items(), key=lambda item: -item[1][1])[:SHOWN_PRICES]
+        shown_costs = ", ".join(
+            f"{name} {cost:.3f}" for name, (_, cost) in costliest if cost >= 0.0005
+        )
+        lines.append(f"- {day.name} ({day.worth:.3f}): {shown_costs}")
     return lines
 
 
 def draw_site(site: str, scores: Sequence[Score], path: Path) -> None:
-    """Draw each day's worth, and the dearest prices, over a site's scores."""
+    """Plot each day's worth, and the highest prices, over the scores of a site."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -135,7 +137,7 @@
         worths.plot(places, values, marker="o", label=name)
     worths.set_title(f"{site}: worth")
     bottom = [0.0] * len(scores)
-    for name in find_dearest(scores):
+    for name in find_costliest_prices(scores):
         costs = [
             statistics.fmean(d.prices.get(name, (0.0, 0.0))[1] for d in s.days) for s in scores
         ]
@@ -150,8 +152,8 @@
     pyplot.close(figure)
 
 
-def find_dearest(scores: Sequence[Score]) -> list[str]:
-    """Return the prices that cost most over all scores together."""
+def find_costliest_prices(scores: Sequence[Score]) -> list[str]:
+    """Return the names of the prices with the highest total cost over all scores."""
     sums: dict[str, float] = {}
     for score in scores:
         for day in score.days:
@@ -161,7 +163,7 @@
 
 
 def main() -> None:
-    """Write the page and its plots."""
+    """Write the report and its plots."""
     REPORTS.mkdir(exist_ok=True)
     scores = read_scores(JOURNAL)
     (REPORTS / "days.md").write_text(write_page(scores))
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -1,11 +1,13 @@
-"""What a return of the store from a copy costs a fleet, by how hosts take it.
-
-The product's own watching of the discovery list, in virtual time: hosts in zones, of which two each
-tell the others where the fleet is large, and one store that comes back from a copy without its
-latest writes. One upstream then says that it leaves, and another one comes. Counted are the seconds
-until all hosts act on that, and the calls for the list in the three seconds after the return,
-beside those after an absence as long in which nothing is lost; further the host seconds in which an
-upstream that the copy lacks is not used, and in which one is that the copy holds and that has gone.
+"""Cost of a restore of the store from a copy for a fleet, by how hosts react to it.
+
+Runs the production discovery in virtual time. In a large fleet, two hosts per zone relay the list
+to the others. The store is restored from a copy without its latest writes; then one upstream
+drains and another one joins. Reported are
+
+- the seconds until all hosts act on either,
+- the store calls shortly after the restore, and after an outage without data loss ("plain"),
+- the host seconds in which an upstream missing from the copy is not used ("missed"),
+- the host seconds in which an upstream is used that only the copy still has ("wrong").
 """
 
 import asyncio
@@ -29,21 +31,24 @@
 SIZES = (8, 65, 195)
 SEEDS = range(1, 6)
 HOSTS_PER_ZONE = 15
-# Upstreams in the list, and how often one of them changes its entry, in seconds.
+# Number of upstreams, and the seconds between changes of their entries.
 UPSTREAMS, CHANGE_SECONDS = 30, 0.2
-# Seconds for an answer of the store and for a datagram, and the share of datagrams that are lost.
+# Seconds for a response of the store and for a datagram, and the share of lost datagrams.
 ANSWER_SECONDS, DATAGRAM_SECONDS, LOST_SHARE = 0.02, 0.002, 0.01
-# Seconds of the copy's age, of the absence, and after the return in which calls are counted.
-COPY_SECONDS, COUNTED_SECONDS = 5.0, 3.0
-LONGEST_SECONDS = 12.0
-# Seconds after the return at which the upstreams have written again, and between two looks.
-WRITTEN_SECONDS, LOOK_SECONDS = 2.0, 0.02
+# Age of the copy, and time after the restore in which calls are counted, in seconds.
+COPY_SECONDS, COUNT_CALLS_SECONDS = 5.0, 3.0
+TIMEOUT_SECONDS = 12.0
+# Seconds after the restore at which the upstreams rewrite their entries, and between two polls.
+REWRITE_SECONDS, POLL_SECONDS = 2.0, 0.02
 STEADY_SECONDS = 8.0
 
 
 @dataclass(frozen=True)
-class Way:
-    """How hosts take a return; `discovery` builds the part that watches the list."""
+class RestorePolicy:
+    """How hosts react to a restore.
+
+    `spread_seconds` replaces the default time over which followers spread their reads.
+    """
 
     label: str
     discovery: type[Discovery]
@@ -51,52 +56,52 @@
 
 
 @dataclass(frozen=True)
-class Absence:
-    """How the store is away; a plain one loses nothing."""
+class Outage:
+    """An outage of the store; a `plain` one loses no writes."""
 
     seconds: float
     plain: bool = False
 
 
-class NumbersAlone(Discovery):
-    """Hosts that know no epochs, as they were: a lower number is an older list."""
+class RevisionsOnly(Discovery):
+    """Baseline without store epochs: a lower revision is an older list."""
 
     async def run(self) -> None:
-        """Watch as if the store named no epoch."""
+        """Watch, ignoring the store's epoch."""
         self._store.epochs.take = lambda named, now: None  # type: ignore[method-assign]
         await super().run()
 
 
 class FullRestart(Discovery):
-    """Hosts that drop all that they believed of the list, and begin anew."""
+    """Baseline that drops all known upstreams at a new epoch."""
 
     def _begin_epoch(self, snapshot: Snapshot) -> None:
         for name in list(self._fleet.list_names()):
             self._fleet.remove(name)
 
 
-class TellingRelay(ListingRelay):
-    """The relay of one host of the model: its zone hears it after a moment, or not."""
+class SimulatedRelay(ListingRelay):
+    """The relay of one simulated host, with delayed and lost datagrams within its zone."""
 
-    def __init__(self, model: "Model", zone: int, large: bool, should_relay: bool) -> None:
-        """Tell the zone's hosts where this one `should_relay`."""
-        self._model, self.zone, self._large, self._tells = model, zone, large, should_relay
+    def __init__(self, model: "FleetModel", zone: int, large: bool, should_relay: bool) -> None:
+        """Create a relay for a host, which sends changes if `should_relay`."""
+        self._model, self.zone, self._large, self._relays_changes = model, zone, large, should_relay
         self.take: Callable[[ListingChanges], None] = lambda _: None
 
     def receive(self, take: Callable[[ListingChanges], None]) -> None:
-        """Hand what others tell to `take`."""
+        """Set the callback for received changes."""
         self.take = take
 
     def should_watch(self) -> bool:
-        """Return whether this host watches itself."""
-        return not self._large or self._tells
+        """Return whether this host watches the store."""
+        return not self._large or self._relays_changes
 
     def should_relay(self) -> bool:
-        """Return whether this host tells others."""
-        return self._large and self._tells
+        """Return whether this host relays changes to others."""
+        return self._large and self._relays_changes
 
     def send(self, changes: ListingChanges) -> None:
-        """Tell the zone."""
+        """Send changes to the other hosts of the zone."""
         loop = asyncio.get_running_loop()
         for other in self._model.relays:
             if other is self or other.zone != self.zone:
@@ -105,26 +110,26 @@
                 loop.call_later(DATAGRAM_SECONDS, other.take, changes)
 
 
-class Model:
-    """One fleet before its store."""
+class FleetModel:
+    """A simulated fleet and its store."""
 
-    def __init__(self, way: Way, hosts: int, seed: int) -> None:
-        """Put the hosts together; `play` starts them."""
+    def __init__(self, policy: RestorePolicy, hosts: int, seed: int) -> None:
+        """Create the hosts; `play` starts them."""
         self.rng = random.Random(seed)
         self.stand_in = StandInStore()
-        self.relays: list[TellingRelay] = []
+        self.relays: list[SimulatedRelay] = []
         self.clients: list[DirectStore] = []
         self.fleets: list[Fleet] = []
-        self._parts: list[Discovery] = []
+        self._discoveries: list[Discovery] = []
         for number in range(hosts):
-            relay = TellingRelay(
+            relay = SimulatedRelay(
                 self, number // HOSTS_PER_ZONE, is_large_fleet(hosts), number % HOSTS_PER_ZONE < 2
             )
             self.relays.append(relay)
             self.clients.append(DirectStore(self.stand_in, ANSWER_SECONDS))
             self.fleets.append(Fleet())
-            self._parts.append(
-                way.discovery(
+            self._discoveries.append(
+                policy.discovery(
                     self.clients[-1],
                     self.fleets[-1],
                     random.Random(f"{seed} {number}"),
@@ -135,52 +140,56 @@
                 )
             )
 
-    async def play(self, absence: Absence) -> tuple[float, float, int, float, float]:
-        """Return seconds until left and until used, calls, and host seconds of wrong beliefs."""
+    async def play(self, outage: Outage) -> tuple[float, float, int, float, float]:
+        """Simulate an outage and a restore; return the figures of `measure_recovery`."""
         for number in range(UPSTREAMS):
             self.put(f"s{number}")
-        tasks = [asyncio.ensure_future(part.run()) for part in self._parts]
+        tasks = [asyncio.ensure_future(discovery.run()) for discovery in self._discoveries]
         tasks.append(asyncio.ensure_future(self.change()))
         await asyncio.sleep(STEADY_SECONDS + self.rng.random())
         copy = self.stand_in.take_copy()
         self.put("late")
         self.stand_in.remove("servers", "s1")
         await asyncio.sleep(COPY_SECONDS)
-        self.set_way("busy" if absence.seconds else "up")
-        await asyncio.sleep(absence.seconds)
-        if not absence.plain:
+        self.set_way("busy" if outage.seconds else "up")
+        await asyncio.sleep(outage.seconds)
+        if not outage.plain:
             self.stand_in.come_back(copy)
         self.set_way("up")
-        found = await self.watch_return()
+        found = await self.measure_recovery()
         for task in tasks:
             task.cancel()
         return found
 
-    async def watch_return(self) -> tuple[float, float, int, float, float]:
-        """Have one upstream leave and one come, and see when all hosts know."""
+    async def measure_recovery(self) -> tuple[float, float, int, float, float]:
+        """Drain one upstream and add one after the restore, and poll all hosts.
+
+        Returns the seconds until no host uses the first and all use the second, the store calls,
+        and the missed and wrong host seconds.
+        """
         loop = asyncio.get_running_loop()
         began, before = loop.time(), self.count_calls()
         self.put("s0", "draining")
         self.put("new")
-        left = used = LONGEST_SECONDS
+        left = used = TIMEOUT_SECONDS
         calls, missed, wrong = 0, 0.0, 0.0
-        loop.call_later(WRITTEN_SECONDS, self.stand_in.write_all_again)
-        while (now := loop.time() - began) < LONGEST_SECONDS:
-            await asyncio.sleep(LOOK_SECONDS)
-            missed += LOOK_SECONDS * (len(self.fleets) - self.count_using("late"))
-            wrong += LOOK_SECONDS * self.count_using("s1")
-            if left == LONGEST_SECONDS and not self.count_using("s0"):
+        loop.call_later(REWRITE_SECONDS, self.stand_in.write_all_again)
+        while (now := loop.time() - began) < TIMEOUT_SECONDS:
+            await asyncio.sleep(POLL_SECONDS)
+            missed += POLL_SECONDS * (len(self.fleets) - self.count_using("late"))
+            wrong += POLL_SECONDS * self.count_using("s1")
+            if left == TIMEOUT_SECONDS and not self.count_using("s0"):
                 left = now
-            if used == LONGEST_SECONDS and self.count_using("new") == len(self.fleets):
+            if used == TIMEOUT_SECONDS and self.count_using("new") == len(self.fleets):
                 used = now
-            if now < COUNTED_SECONDS:
+            if now < COUNT_CALLS_SECONDS:
                 calls = self.count_calls() - before
-            elif max(left, used) < LONGEST_SECONDS:
+            elif max(left, used) < TIMEOUT_SECONDS:
                 break
         return left, used, calls, missed, wrong
 
     async def change(self) -> None:
-        """Have the entries of upstreams change all the while."""
+        """Change the entries of upstreams periodically."""
         number = 0
         while True:
             await asyncio.sleep(CHANGE_SECONDS)
@@ -196,52 +205,55 @@
         self.stand_in.put("servers", name, spec)
 
     def set_way(self, way: str) -> None:
-        """Have all hosts' calls fail in a way."""
+        """Set the failure mode of all hosts' calls."""
         for client in self.clients:
             client.set_way(way)
 
     def count_calls(self) -> int:
-        """Return the calls that all hosts have made."""
+        """Return the total number of calls by all hosts."""
         return sum(client.calls for client in self.clients)
 
     def count_using(self, name: str) -> int:
-        """Return how many hosts give an upstream new work."""
+        """Return the number of hosts that send new work to an upstream."""
         return sum(
             known is not None and not known.record.leaving
             for known in (fleet.find_start(name) for fleet in self.fleets)
         )
 
 
-WAYS = (
-    Way("numbers alone (as it was)", NumbersAlone),
-    Way("all dropped, list read anew", FullRestart),
-    Way("pairs, followers read at once", Discovery, spread_seconds=0.0),
-    Way("pairs, followers spread", Discovery),
+RESTORE_POLICIES = (
+    RestorePolicy("revisions only", RevisionsOnly),
+    RestorePolicy("all dropped, list read again", FullRestart),
+    RestorePolicy("relays, followers read at once", Discovery, spread_seconds=0.0),
+    RestorePolicy("relays, followers spread", Discovery),
 )
-ABSENCES = (Absence(0.4), Absence(3.0), Absence(0.0))
+OUTAGES = (Outage(0.4), Outage(3.0), Outage(0.0))
 
 
-def measure(way: Way, hosts: int, absence: Absence) -> Sequence[float]:
-    """Return the medians over the seeds of what a play gives."""
-    standing = discovery_module.RESTORE_SPREAD_SECONDS
-    if way.spread_seconds is not None:
-        discovery_module.RESTORE_SPREAD_SECONDS = way.spread_seconds
-    rows = [run_in_virtual_time(Model(way, hosts, seed).play(absence)) for seed in SEEDS]
-    discovery_module.RESTORE_SPREAD_SECONDS = standing
+def measure(policy: RestorePolicy, hosts: int, outage: Outage) -> Sequence[float]:
+    """Return the medians over the seeds of the figures of a run."""
+    default_seconds = discovery_module.RESTORE_SPREAD_SECONDS
+    if policy.spread_seconds is not None:
+        discovery_module.RESTORE_SPREAD_SECONDS = policy.spread_seconds
+    rows = [run_in_virtual_time(FleetModel(policy, hosts, seed).play(outage)) for seed in SEEDS]
+    discovery_module.RESTORE_SPREAD_SECONDS = default_seconds
     return [statistics.median(row[column] for row in rows) for column in range(5)]
 
 
 def main() -> None:
     """Print the table: medians over the seeds."""
-    print("| hosts | away s | way | left s | used s | calls in 3 s | plain | missed s | wrong s |")
+    print(
+        "| hosts | outage s | policy | left s | used s | calls in 3 s | "
+        "plain | missed s | wrong s |"
+    )
     print("|---|---|---|---|---|---|---|---|---|")
     for hosts in SIZES:
-        for absence in ABSENCES:
-            plain = measure(WAYS[-1], hosts, Absence(absence.seconds, plain=True))[2]
-            for way in WAYS:
-                left, used, calls, missed, wrong = measure(way, hosts, absence)
+        for outage in OUTAGES:
+            plain = measure(RESTORE_POLICIES[-1], hosts, Outage(outage.seconds, plain=True))[2]
+            for policy in RESTORE_POLICIES:
+                left, used, calls, missed, wrong = measure(policy, hosts, outage)
                 print(
-                    f"| {hosts} | {absence.seconds:g} | {way.label} | {left:.2f} | {used:.2f} | "
+                    f"| {hosts} | {outage.seconds:g} | {policy.label} | {left:.2f} | {used:.2f} | "
                     f"{calls:.0f} | {plain:.0f} | {missed:.1f} | {wrong:.1f} |",
                     flush=True,
                 )
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Costs of control at rest and of a change, over three sizes: the slopes of docs/CAPACITY.md."""
+"""Costs of coordination at rest and of a change, for several fleet sizes; see docs/CAPACITY.md."""
 
 import tempfile
 import threading
@@ -11,14 +11,15 @@
 from bench.fleetfile import declare_fleet
 from swifttrestle_standins.fleet import Fleet, wait_until
 
+# Numbers of entries, controllers and engines.
 SIZES = ((2, 1, 3), (4, 2, 6), (8, 4, 12))
 REST_SECONDS = 10.0
-CHANGES = 5
+CHANGE_COUNT = 5
 
 
 @dataclass(frozen=True)
 class Reading:
-    """CPU seconds, bytes sent to peers and platform calls so far."""
+    """Cumulative CPU seconds and bytes sent to peers by process, and platform calls."""
 
     cpu: dict[str, float]
     sent: dict[str, float]
@@ -26,7 +27,7 @@
 
 
 def read_all(fleet: Fleet, names: list[str]) -> Reading:
-    """Read every process of the system."""
+    """Read the counters of the named processes and of the platform."""
     cpu, sent = {}, {}
     for name in names:
         times = psutil.Process(fleet.members[name].process_id()).cpu_times()
@@ -36,7 +37,7 @@
 
 
 def start_fleet(fleet: Fleet, folder: Path, entries: int, controllers: int, engines: int) -> None:
-    """Start a fleet at the settings of a production site, and declare it."""
+    """Start a fleet with production settings and apply its resources."""
     fleet.add_platform()
     addresses = {}
     for n in range(engines):
@@ -53,10 +54,10 @@
 
 
 def measure_changes(fleet: Fleet, entries: int) -> list[float]:
-    """Return the seconds from a write by an operator until it is in force at every entry."""
+    """Return the seconds from each operator write until it is in force at every entry."""
     platform = fleet.members["platform"].addresses["listen"]
-    took = []
-    for number in range(CHANGES):
+    durations = []
+    for number in range(CHANGE_COUNT):
         path = "/api/v1/objects/Policy/default"
         stored = fleet.call("GET", platform, path)
         epoch = fleet.dump("n0")["epochs"]["fleet"]
@@ -69,8 +70,8 @@
             return all(fleet.dump(f"n{n}")["epochs"]["fleet"] > epoch for n in range(entries))
 
         wait_until(in_force, 30)
-        took.append(time.monotonic() - began)
-    return took
+        durations.append(time.monotonic() - began)
+    return durations
 
 
 def measure_size(entries: int, controllers: int, engines: int) -> str:
@@ -98,12 +99,12 @@
             / 1e6
             for kind in "nc"
         }
-        took = measure_changes(fleet, entries)
+        durations = measure_changes(fleet, entries)
         return (
             f"| {entries} | {controllers} | {engines} | {mean('n', 'cpu') * 100:.2f} | "
             f"{mean('c', 'cpu') * 100:.2f} | {mean('n', 'sent'):.0f} | {mean('c', 'sent'):.0f} | "
             f"{calls:.1f} | {memory['n']:.0f} | {memory['c']:.0f} | "
-            f"{sorted(took)[len(took) // 2]:.2f} | {max(took):.2f} |"
+            f"{sorted(durations)[len(durations) // 2]:.2f} | {max(durations):.2f} |"
         )
 
 
