--- a/tests/common/discovery.py
+++ b/tests/common/discovery.py
@@ -1,4 +1,4 @@
-"""One host's discovery in virtual time, over a store that a test breaks or brings back."""
+"""One host's discovery in virtual time, on a store that a test makes unavailable."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Alone(ListingRelay):
-    """The relay of a small fleet: each host watches for itself."""
+    """The relay of a small fleet, in which each host watches the store itself."""
 
     def __init__(self):
         self.take = None
@@ -34,11 +34,11 @@
         return False
 
     def send(self, changes):
-        """Nobody hears of changes."""
+        """Discard the changes: there are no other hosts."""
 
 
 class Host:
-    """One host's discovery over a store that a test breaks."""
+    """One host's discovery, with its store and its table of upstreams."""
 
     def __init__(self, seed, relay=None):
         self.store = DirectStore()
@@ -66,6 +66,6 @@
         return name in self.fleet.instances
 
     def uses(self, name):
-        """Return whether an instance gets new work."""
+        """Return whether an instance gets new requests."""
         known = self.fleet.instances.get(name)
         return known is not None and not known.record.leaving
--- a/tests/common/fakes.py
+++ b/tests/common/fakes.py
@@ -1,4 +1,4 @@
-"""In-process fakes at the interfaces: a clock and an object API with faults."""
+"""In-process fakes: a clock and an object API with faults."""
 
 from swifttrestle.errors import ConflictError, NotFoundError, PlatformUnavailableError
 from swifttrestle.internal.clock import Clock
@@ -7,7 +7,7 @@
 
 
 class FakeClock(Clock):
-    """Time that moves only when a test moves it."""
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.time = 1000.0
@@ -17,7 +17,7 @@
 
 
 class FakeApi(ObjectApi):
-    """Objects in memory; `lose` answers or `refuse` calls as a test wants."""
+    """Objects in memory; `lose` is the number of writes to apply without an answer."""
 
     def __init__(self):
         self.objects = {}
@@ -47,7 +47,7 @@
         self.objects[kind, name] = StoredObject(kind, name, self.version, spec)
         if self.lose:
             self.lose -= 1
-            raise PlatformUnavailableError("the answer was lost")
+            raise PlatformUnavailableError("fault: the answer to the write was lost")
         return self.objects[kind, name]
 
     def delete(self, kind, name, version):
@@ -55,15 +55,15 @@
         del self.objects[kind, name]
 
     def watch(self, kinds, since):
-        raise PlatformUnavailableError("no watch here")
+        raise PlatformUnavailableError("the fake object API has no watches")
 
     def _check(self):
         if self.down:
-            raise PlatformUnavailableError("down")
+            raise PlatformUnavailableError("fault: the object API is down")
 
 
 class FakeCache:
-    """The part of an object cache that leases use, told of versions by the test."""
+    """The interface of an object cache that leases use, reading the fake API directly."""
 
     def __init__(self, api, clock):
         self._api = api
@@ -92,5 +92,5 @@
 
 
 def skip_silently():
-    """Return a count of skipped entries that nobody reads."""
+    """Return a counter of skipped entries without a metric."""
     return SkippedEntries(lambda kind, field: None)
--- a/tests/common/http.py
+++ b/tests/common/http.py
@@ -1,4 +1,4 @@
-"""A caller that speaks raw HTTP, so that tests decide on every byte."""
+"""A raw HTTP client, so that tests control every byte."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 @dataclass
 class Answer:
-    """One answer as its caller saw it; `whole` is False where it broke off."""
+    """One response; `whole` is False if the connection ended before its end."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -19,7 +19,7 @@
 
 
 class RawCaller:
-    """One connection."""
+    """One client connection."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -27,7 +27,7 @@
 
     @classmethod
     async def connect(cls, address, source=None):
-        """Connect, from the IP `source` where one is given."""
+        """Connect, from the IP `source` if given."""
         local = None if source is None else (source, 0)
         return cls(*await asyncio.open_connection(*address, local_addr=local))
 
@@ -41,7 +41,7 @@
         self.writer.transport.abort()
 
     async def read_answer(self):
-        """Read one answer; a status of 0 means that the connection ended before one."""
+        """Read one response; the status is 0 if the connection ended before its head."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -73,7 +73,7 @@
 
 
 def write_request(path, request_id, method="POST", body=b"", **headers):
-    """Return the bytes of a well-formed request; keyword headers use _ for -."""
+    """Return the bytes of a valid request; in keyword headers, _ stands for -."""
     lines = [
         f"{method} {path} HTTP/1.1",
         "Host: site.example",
@@ -86,7 +86,7 @@
 
 
 async def ask(address, path, request_id, source=None, **changes):
-    """Send one request on a connection of its own and return the answer."""
+    """Send one request on a new connection and return the response."""
     caller = await RawCaller.connect(address, source)
     caller.send(write_request(path, request_id, **changes))
     try:
--- a/tests/common/scenario.py
+++ b/tests/common/scenario.py
@@ -1,20 +1,24 @@
-"""The small test language: one text file a scenario, one step a line.
+"""The scenario language: a text file per scenario, one step per line.
 
     start platform|engine|service|entry|controller NAME [flag=value ...]
     declare [policy-field=value ...]       resources for everything started so far, in force
     load NAME [service= count= tokens= entries= pace= again= hang_up= header:X=value]
-    when CONDITION [seconds=N]             waits on an event
-    fault STANDIN key=value ...            through the stand-in's admin port
-    signal PROCESS KILL|STOP|CONT|TERM     from outside
-    restart PROCESS                        with the same flags
-    stop PROCESS                           as planned; it must end with status 0
-    host NAME off                          takes a host off the platform's list
-    ctl ARG ... [! TEXT]                   must succeed, or with '!' fail and say the text
-    edit KIND NAME field=value ...         writes a raw object, as an operator with a bad tool
+    when CONDITION [seconds=N]             waits until the condition holds
+    fault STANDIN key=value ...            sets faults through the stand-in's admin port
+    signal PROCESS KILL|STOP|CONT|TERM     sends a signal
+    restart PROCESS                        starts an ended process with the same flags
+    stop PROCESS                           stops gracefully; the exit status must be 0
+    host NAME off                          removes a host from the platform's list
+    ctl ARG ... [! TEXT]                   must succeed, or with '!' fail and print the text
+    edit KIND NAME field=value ...         writes a raw object, bypassing swifttrestle-ctl
+    save KIND NAME as=FILE                 saves a resource to a file, with its version
+    change FILE field=value ...            edits a saved file
+    apply FILE [ARG ...]                   applies a saved file
+    mark NAME ENGINE                       records the number of runs of an engine
     expect CONDITION                       must hold now
 
-Conditions are the `is_...` methods of `Scenario`: a name, then arguments. Every scenario
-ends with all loads ended and all invariants checked against the stand-ins' records.
+Conditions are the `is_...` methods of `Scenario`: a name, then arguments. At the end of every
+scenario all loads are joined and all invariants are checked on the stand-ins' records.
 """
 
 import contextlib
@@ -37,12 +41,12 @@
 
 
 def read_value(text):
-    """Return a flag's value, read as YAML."""
+    """Return the value of a flag, parsed as YAML."""
     return yaml.safe_load(text) if text else ""
 
 
 def split_flags(words):
-    """Return the words without '=' and the flags with their values."""
+    """Split words into those without '=' and a dictionary of flags."""
     plain = [word for word in words if "=" not in word]
     pairs = (word.split("=", 1) for word in words if "=" in word)
     return plain, {key: read_value(value) for key, value in pairs}
@@ -52,20 +56,20 @@
     """Runs one scenario file."""
 
     def __init__(self, folder: Path, programs: dict[str, str] | None = None) -> None:
-        """Keep files in a folder; `programs` replaces the program of a kind of process."""
+        """Prepare a run; `programs` replaces the program of a kind of process."""
         self.programs = programs or {}
         self.fleet = Fleet(folder)
         self.folder = folder
         self.loads: dict[str, Load] = {}
         self.kinds: dict[str, str] = {}
-        self.past: dict[str, list[dict]] = {}
+        self.saved_runs: dict[str, list[dict]] = {}
         self.samples: dict[str, list[dict[str, int]]] = {}
         self.marks: dict[str, dict] = {}
         self.repeatable = False
-        self._ended = threading.Event()
+        self._finished = threading.Event()
 
     def run(self, path: Path) -> None:
-        """Run every step, then check every invariant."""
+        """Run all steps, then check all invariants."""
         threading.Thread(target=self._sample_epochs, daemon=True).start()
         with self.fleet:
             for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -79,7 +83,7 @@
                         f"{path.name}:{number}: {line}\n{error!r}\n{self._tail_logs()}"
                     ) from error
             self._check_all()
-        self._ended.set()
+        self._finished.set()
 
     # Steps.
 
@@ -104,7 +108,7 @@
         _, policy = split_flags(words)
         self.repeatable = repeatable = policy.pop("alerts_repeatable", False)
         resources = make_resources({}, **policy)
-        for name in self._named("engine"):
+        for name in self._list_names("engine"):
             started = self.fleet.members[name]
             spec = {
                 "type": "engine",
@@ -114,23 +118,23 @@
                 "fencing": started.flags.get("fencing", "ignored"),
             }
             resources.append({"kind": "Upstream", "name": name, "spec": spec})
-        if self._named("service"):
+        if self._list_names("service"):
             spec = {"type": "plain", "priority": "urgent", "repeatable": repeatable,
                     "deadline_ms": 5000}  # fmt: skip
             resources.append({"kind": "Service", "name": "alerts", "spec": spec})
-        for name in self._named("service"):
+        for name in self._list_names("service"):
             spec = {"type": "plain", "address": self.fleet.members[name].addresses["listen"],
                     "zone": "a", "services": ["alerts"]}  # fmt: skip
             resources.append({"kind": "Upstream", "name": name, "spec": spec})
         file = self.folder / "declared.yaml"
         file.write_text(yaml.safe_dump_all(resources))
         self.do_ctl("apply", str(file), "--wait=40")
-        for entry in self._named("entry"):
+        for entry in self._list_names("entry"):
             wait_until(lambda entry=entry: self.is_ready(entry), WAIT_SECONDS, f"{entry} ready")
 
     def do_load(self, name, *words):
         _, flags = split_flags(words)
-        entries = flags.get("entries", ",".join(self._named("entry"))).split(",")
+        entries = flags.get("entries", ",".join(self._list_names("entry"))).split(",")
         headers = {k[7:]: str(v) for k, v in flags.items() if k.startswith("header:")}
         self.loads[name] = Load(
             KEY,
@@ -161,7 +165,7 @@
 
     def do_signal(self, name, number):
         if number == "KILL":
-            self._keep_records(name)
+            self._save_runs(name)
         self.fleet.members[name].signal(getattr(signal, f"SIG{number}"))
         if number == "KILL":
             self.fleet.members[name].process.wait()
@@ -169,11 +173,10 @@
     def do_restart(self, name):
         started = self.fleet.members[name]
         wait_until(lambda: not started.running, 30, f"the end of {name}")
-        # An entry that starts anew may only be seen at what was accepted, never older.
         started.start()
 
     def do_stop(self, name):
-        self._keep_records(name)
+        self._save_runs(name)
         assert self.fleet.members[name].stop() == 0
 
     def do_host(self, name, _off):
@@ -197,12 +200,12 @@
         spec = {k: v for k, v in stored.get("spec", {}).items() if k != "nonce"} | flags
         body = {"spec": spec, "version": stored.get("version", 0)}
         with contextlib.suppress(ProtocolError):
-            # A lost answer is no failure of the operator's write: what stands is looked at.
+            # If the answer is lost, the write may have been applied; the read below decides.
             self.fleet.call("PUT", platform, path, body)
         assert self.fleet.call("GET", platform, path)["spec"] == spec
 
     def do_save(self, kind, name, *words):
-        """Save a resource as an operator's file, with the version it was read at."""
+        """Save a resource to a file, with the version that was read."""
         _, flags = split_flags(words)
         text = self.fleet.ctl("get", kind, name, "--output=yaml").stdout
         (self.folder / f"{flags['as']}.yaml").write_text(text)
@@ -218,20 +221,20 @@
         self.do_ctl("apply", str(self.folder / f"{file}.yaml"), *words)
 
     def do_mark(self, name, engine):
-        """Remember how many runs an engine has now."""
+        """Record the current number of runs of an engine."""
         self.marks[name] = {"engine": engine, "runs": len(self._runs(engine))}
 
     # Conditions.
 
     def is_ready(self, entry):
-        """Every engine's model is known to the entry."""
+        """Whether the entry knows the model of every engine."""
         views = self.fleet.dump(entry)["upstreams"]
-        return all(views.get(name, {}).get("holding") for name in self._named("engine"))
+        return all(views.get(name, {}).get("holding") for name in self._list_names("engine"))
 
     def is_streaming(self, load, tokens=1):
-        """Every call of a load is open on an engine with that many tokens sent."""
+        """Whether every call of a load has been sent that many tokens by an engine."""
         sent = {}
-        for engine in self._named("engine"):
+        for engine in self._list_names("engine"):
             if self.fleet.members[engine].running:
                 for run in self._runs(engine):
                     sent[run["digest"]] = max(run["sent"], sent.get(run["digest"], 0))
@@ -239,24 +242,24 @@
         return all(max(sent.get(d, 0) for d in call.digests) >= tokens for call in calls)
 
     def is_running(self, count):
-        """So many engines run."""
-        running = [name for name in self._named("engine") if self.fleet.members[name].running]
+        """Whether exactly `count` engine processes run."""
+        running = [name for name in self._list_names("engine") if self.fleet.members[name].running]
         return len(running) == int(count)
 
     def is_ended(self, load):
         return not any(thread.is_alive() for thread in self.loads[load].threads)
 
     def is_whole(self, load, least=-1):
-        """Every call of an ended load, or at least so many, has its right answer."""
+        """Check that all calls of a load, or at least `least`, got their correct answers."""
         self.loads[load].join()
         calls = self.loads[load].calls
-        right = sum(call.is_right(("v1", "v2")) for call in calls)
+        correct = sum(call.is_correct(("v1", "v2")) for call in calls)
         wanted = len(calls) if least < 0 else least
-        assert right >= wanted, [c.answer for c in calls if not c.is_right(("v1", "v2"))][:3]
+        assert correct >= wanted, [c.answer for c in calls if not c.is_correct(("v1", "v2"))][:3]
         return True
 
     def is_refused(self, load, code, least=-1):
-        """Every call of an ended load, or at least so many, was refused with a code."""
+        """Check that all calls of a load, or at least `least`, were refused with a code."""
         self.loads[load].join()
         codes = [call.answer.error.get("name") for call in self.loads[load].calls]
         wanted = len(codes) if least < 0 else least
@@ -271,7 +274,7 @@
         return state["role"] == role and not state["changing"]
 
     def is_prefilled(self, engine, least=1):
-        """An engine has prefilled for others at least so many times."""
+        """Whether an engine has prefilled for other engines at least `least` times."""
         ends = [run["end"] for run in self._runs(engine)]
         return ends.count("prefilled") >= least
 
@@ -279,7 +282,7 @@
         return self._state(engine)["active"] == 0
 
     def is_unused_since(self, mark):
-        """The engine of a mark got no new run since."""
+        """Whether the engine of a mark has had no new run since."""
         noted = self.marks[mark]
         return len(self._runs(noted["engine"])) == noted["runs"]
 
@@ -287,22 +290,22 @@
         return self._order(engine).get("stage") == stage
 
     def is_held(self, lease, by="", after=0):
-        """A lease is held, by that process, under a token above `after`."""
+        """Whether a lease is held (by the process `by`, if given) with a token above `after`."""
         spec = self._object("Lease", lease)
         holder = spec.get("holder", {}).get("name")
         return bool(holder) and holder == (by or holder) and spec["token"] > after
 
     def is_log(self, name, text):
-        """A process has logged a text."""
+        """Whether the log of a process contains a text."""
         return text in self.fleet.members[name].log.read_text()
 
     def is_order_refused(self, engine):
-        """An engine refused an order, other than one that only raises its number."""
+        """Whether an engine refused an order other than one that only raises its token."""
         orders = self.fleet.records(engine)["orders"]
         return any(o["effect"] == "refused" and o["action"] == "hold" for o in orders)
 
     def is_ordered_by_term(self, engine, term):
-        """An engine took an order of a lease's term, other than one that raises its number."""
+        """Whether an engine got an order of a lease's term that does more than raise its token."""
         orders = self.fleet.records(engine)["orders"]
         return any(o["action"] == "hold" and o["token"] >> 20 == int(term) for o in orders)
 
@@ -332,11 +335,11 @@
         return sum(v for k, v in counters.items() if k.startswith(counter)) >= least
 
     def is_said(self, text):
-        """The operators' status says a text."""
+        """Whether the output of `swifttrestle-ctl status` contains a text."""
         return text in self.fleet.ctl("status").stdout
 
     def is_settled(self, seconds, since=None):
-        """So much time has passed since the step began; for bounds that are times."""
+        """Whether `seconds` have passed since the step began."""
         key = f"settle-{seconds}"
         self.marks.setdefault(key, {"at": time.monotonic()})
         if time.monotonic() - self.marks[key]["at"] < float(seconds):
@@ -345,15 +348,15 @@
         return True
 
     def is_calls_below(self, limit):
-        """The platform was called fewer times than this since the last look."""
+        """Whether the platform got fewer calls than `limit` since the previous check."""
         calls = sum(self.fleet.records("platform")["calls"].values())
         before = self.marks.get("calls", {"n": 0})["n"]
         self.marks["calls"] = {"n": calls}
         return calls - before < float(limit)
 
-    # Looking.
+    # Helpers.
 
-    def _named(self, kind):
+    def _list_names(self, kind):
         return [name for name, found in self.kinds.items() if found == kind]
 
     def _object(self, kind, name):
@@ -369,15 +372,15 @@
 
     def _runs(self, name):
         records = self.fleet.records(name) if self.fleet.members[name].running else {"runs": []}
-        return self.past.get(name, []) + records["runs"]
+        return self.saved_runs.get(name, []) + records["runs"]
 
-    def _keep_records(self, name):
-        """Keep what a stand-in knows before it is ended."""
+    def _save_runs(self, name):
+        """Save the runs of a stand-in before its process ends."""
         if self.kinds[name] in ("engine", "service"):
-            self.past[name] = self._runs(name)
+            self.saved_runs[name] = self._runs(name)
 
     def _sample_epochs(self):
-        while not self._ended.wait(SAMPLE_SECONDS):
+        while not self._finished.wait(SAMPLE_SECONDS):
             for name, kind in list(self.kinds.items()):
                 started = self.fleet.members.get(name)
                 if kind not in ("entry", "controller") or started is None:
@@ -392,13 +395,16 @@
         for load in self.loads.values():
             load.join()
         runs = [
-            r for kind in ("engine", "service") for n in self._named(kind) for r in self._runs(n)
+            r
+            for kind in ("engine", "service")
+            for n in self._list_names(kind)
+            for r in self._runs(n)
         ]
         invariants.check_answers(self.loads, ("v1", "v2"))
         invariants.check_not_run(self.loads, runs)
         if not self.repeatable:
             invariants.check_once(self.loads, runs)
-        for engine in self._named("engine"):
+        for engine in self._list_names("engine"):
             if self.fleet.members[engine].running:
                 checked = self.fleet.members[engine].flags.get("fencing") == "checked"
                 invariants.check_orders(engine, self.fleet.records(engine)["orders"], checked)
--- a/tests/common/stopped.py
+++ b/tests/common/stopped.py
@@ -1,6 +1,6 @@
-"""Controllers that stop themselves at one exact step, for scenarios that need that step.
+"""Controllers that freeze or kill themselves right before or after sending an order.
 
-The product has no switch for this: the sender is replaced here, in the test's own program.
+The engine client is replaced in these programs, so the system needs no switch for tests.
 """
 
 import signal
@@ -17,20 +17,20 @@
 VERSION = "v2"
 
 
-def stop_here(number):
-    """Stop the process before this thread runs another line.
+def signal_current_thread(signal_number):
+    """Send a signal to the current thread.
 
-    The signal goes to this very thread. One sent to the process may be taken by another
-    thread, and this one then runs on for a moment: long enough for a send under load.
+    The signal takes effect before the thread continues; a signal to the process may be handled by
+    another thread, while this one goes on to send the order.
     """
-    signal.pthread_kill(threading.get_ident(), number)
+    signal.pthread_kill(threading.get_ident(), signal_number)
 
 
 class StoppingEngine(HttpEngine):
-    """Stops its process right before or right after the first order of version v2."""
+    """Signals its own process right before or right after the first order of version v2."""
 
     stops_left = 1
-    number = signal.SIGSTOP
+    signal_number = signal.SIGSTOP
     before = True
 
     def send_order(self, order_id, fence, wanted):
@@ -39,18 +39,18 @@
             return
         StoppingEngine.stops_left = 0
         if self.before:
-            # The lease was checked, and nothing has been sent.
+            # The lease has been checked and nothing has been sent.
             sys.stderr.write("stopped before the send\n")
-            stop_here(self.number)
+            signal_current_thread(self.signal_number)
             super().send_order(order_id, fence, wanted)
         else:
             super().send_order(order_id, fence, wanted)
             sys.stderr.write("stopped after the send\n")
-            stop_here(self.number)
+            signal_current_thread(self.signal_number)
 
 
-def _run(number, before):
-    StoppingEngine.number = number
+def _run(signal_number, before):
+    StoppingEngine.signal_number = signal_number
     StoppingEngine.before = before
 
     def run(settings):
--- a/tests/common/weakened.py
+++ b/tests/common/weakened.py
@@ -1,6 +1,6 @@
-"""Programs with one mechanism taken out, to show that the scenarios would notice.
+"""Programs with one safety mechanism disabled, to show that the scenarios detect it.
 
-Each function stands in for an entry or a controller; see tests/nocover/test_weakened.py.
+Each function replaces the entry or the controller; see tests/nocover/test_weakened.py.
 """
 
 from swifttrestle import controller, entry
@@ -14,7 +14,7 @@
 
 
 def controller_that_waits_for_no_entry():
-    """Sends orders without asking entries or the engine for open requests."""
+    """Sends orders without waiting for open requests of entries and of the engine."""
 
     def send_now(self, upstream, view, order):
         self._announce(order)
@@ -27,13 +27,13 @@
 
 
 def controller_that_trusts_time_alone():
-    """Orders engines that ignore numbers although a former holder may be alive."""
+    """Sends orders to engines that ignore tokens, although a former holder may be alive."""
     Pool._has_authority = lambda self, upstream, view: True
     controller.main()
 
 
 def entry_that_checks_no_token():
-    """Delivers whatever an engine streams."""
+    """Relays all events of an engine without checking them."""
 
     def check(self, event):
         if b'"finish_reason"' in event:
@@ -48,30 +48,30 @@
 
 
 def entry_that_repeats_anything():
-    """Forgets that a byte of a call may have been sent."""
-    begin = UpstreamError.__init__
+    """Treats every failed call as not sent, so that all are retried."""
+    original_init = UpstreamError.__init__
 
-    def forget(self, message, sent=False, retry_after=0.0):
-        begin(self, message, False, retry_after)
+    def init_as_not_sent(self, message, sent=False, retry_after=0.0):
+        original_init(self, message, False, retry_after)
 
-    UpstreamError.__init__ = forget
+    UpstreamError.__init__ = init_as_not_sent
     entry.main()
 
 
 def entry_that_resumes_nothing():
-    """Gives a broken stream up."""
+    """Ends a broken stream with an error instead of resuming it."""
     Relay._resume = lambda self, error: self._fail(2001, error)
     entry.main()
 
 
 def entry_that_stops_at_once():
-    """Waits for no open request at a planned stop."""
+    """Stops without waiting for open requests."""
     entry.Entry._stop = lambda self: self.server.stop()
     entry.main()
 
 
 def entry_that_ignores_drains():
-    """Gives work to upstreams that are leaving."""
+    """Sends requests to draining upstreams."""
 
     def usable(self, name, state, wanted, now):
         return wanted.service.type == "plain" or self._holds_what_is_wanted(state, wanted)
@@ -87,6 +87,6 @@
 
 
 def entry_that_asks_no_peer():
-    """Learns configuration from the platform alone."""
+    """Gets configuration only from the platform, not from peers."""
     ConfigStore.find_outdated = lambda self, epochs: ()
     entry.main()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 
 
 def read_known_red():
-    """Return the tests that are known to fail; each line is: test, cause, issue."""
+    """Return the lines of KNOWN-RED.txt by test; each line is: test, cause, issue."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -22,10 +22,10 @@
 def pytest_collection_modifyitems(items):
     known = read_known_red()
     for item in items:
-        # A line names a test, or all cases of a parameterised one.
+        # A line names a test, or all cases of a parametrized one.
         name = item.nodeid if item.nodeid in known else item.nodeid.partition("[")[0]
         if name in known:
-            # Not strict: of a parameterised test only some cases may fail.
+            # Not strict: some cases of a parametrized test may pass.
             item.add_marker(pytest.mark.xfail(reason=f"KNOWN-RED: {known[name]}", strict=False))
 
 
--- a/tests/cover/test_loopback.py
+++ b/tests/cover/test_loopback.py
@@ -1,4 +1,4 @@
-"""Addresses that a fleet of processes picks stay its own until they are bound."""
+"""Picked loopback addresses stay free until they are bound."""
 
 import contextlib
 import socket
@@ -7,11 +7,10 @@
 from swifttrestle_standins.loopback import pick_ip, pick_port
 
 
-def take_port(caller, fleet):
-    """Have a caller take the port of a picked address, as the system might; return the address.
+def occupy_port(caller, fleet):
+    """Bind a caller's socket to the port of a picked address on 127.0.0.1; return the address.
 
-    Ports of 127.0.0.1 rest for a minute after a connection: 183 of 3,000 after some hundred runs of
-    a site. Another address shows the same.
+    A port of 127.0.0.1 may be in TIME_WAIT and cannot be bound then; another address is picked.
     """
     while True:
         host, port = fleet.pick_address().split(":")
@@ -22,7 +21,7 @@
 
 def test_an_outgoing_connection_does_not_take_an_address_that_was_picked(tmp_path):
     with socket.socket() as caller, socket.socket() as server:
-        host, port = take_port(caller, Fleet(tmp_path))
+        host, port = occupy_port(caller, Fleet(tmp_path))
         assert caller.getsockname() == ("127.0.0.1", port)
         server.bind((host, port))
         assert server.getsockname() == (host, port)
@@ -35,6 +34,6 @@
 
 
 def test_no_port_is_picked_twice():
-    # Ports of one host are picked before any of them is bound: by chance two were the same.
+    # Several ports of one host are picked before any of them is bound.
     ports = [pick_port(pick_ip(number % 3)) for number in range(2000)]
     assert len(set(ports)) == len(ports)
--- a/tests/hosted/sites.py
+++ b/tests/hosted/sites.py
@@ -1,4 +1,4 @@
-"""The small site that the tests of the gateway run on, and how a test runs in it."""
+"""The small site on which the gateway's tests run, and decorators to run a test on it."""
 
 import asyncio
 import functools
@@ -6,13 +6,14 @@
 from swifttrestle_standins.hosted.site import Site, make_model_service, make_route, wait_until
 from swifttrestle_standins.hosted.upstreams import StandInEngine, StandInUpstream
 
-# Prompt tokens of a long prompt (another engine reads it) and of a short one.
+# Values of X-Token-Usage (prompt tokens, output tokens): a long prompt, which is prefilled by
+# another engine, and a short one.
 LONG = "9000,50"
 SHORT = "50,500"
 
 
 def declare_routes(site):
-    """Put routes of each kind, to a model service and to a plain one, into the next version."""
+    """Set the services, and routes of each kind, of the next configuration version."""
     site.services = [make_model_service("model"), {"name": "alerts", "maxConns": 200}]
     site.routes = [
         make_route("verdict", "streaming", "model", resumable=True, sticky=True),
@@ -23,7 +24,7 @@
 
 
 async def build_site(gateways=1, engines=("prefill", "decode", "decode"), plain=2, **limits):
-    """Start a site with routes to a model service and to a plain one."""
+    """Start a site with a model service and a plain service."""
     site = Site()
     await site.start()
     declare_routes(site)
@@ -39,17 +40,17 @@
 
 
 def on_site(**build):
-    """Run an async test with a site of its own, and stop the site after it."""
+    """Decorate an async test to run on a new site, which is stopped afterwards."""
     return on_built(lambda: build_site(**build))
 
 
 def on_built(build, check=lambda _: None):
-    """Run an async test with a site that `build` makes; `check` the site once it has passed."""
+    """Decorate an async test to run on a site made by `build`; `check` runs if it passes."""
 
     def decorate(test):
         @functools.wraps(test)
         def run(*args, **kwargs):
-            async def whole():
+            async def run_on_site():
                 site = await build()
                 try:
                     await test(site, *args, **kwargs)
@@ -57,17 +58,17 @@
                 finally:
                     await site.stop()
 
-            asyncio.run(whole())
+            asyncio.run(run_on_site())
 
-        # pytest must not take the site for a fixture.
+        # Hides the parameter for the site, which pytest would take for a fixture.
         del run.__wrapped__
-        run.__signature__ = _drop_first(test)
+        run.__signature__ = _drop_first_parameter(test)
         return run
 
     return decorate
 
 
-def _drop_first(test):
+def _drop_first_parameter(test):
     import inspect
 
     signature = inspect.signature(test)
@@ -75,12 +76,12 @@
 
 
 def address_of(site, gateway="g0"):
-    """Return where a gateway takes callers."""
+    """Return the address of a gateway for callers."""
     return site.gateways[gateway].settings.callers
 
 
 def script(site, service_prefix, *steps):
-    """Have the next requests fail at whichever upstream gets them, one step for each."""
+    """Script faults of the next requests to any of the upstreams with a name prefix."""
     shared = None
     for name, upstream in site.upstreams.items():
         if name.startswith(service_prefix):
@@ -90,12 +91,12 @@
 
 
 def count_runs(site, request_id):
-    """Return how often a request ran, at all upstreams together."""
+    """Return how often a request ran, summed over all upstreams."""
     return sum(upstream.runs.get(request_id, 0) for upstream in site.upstreams.values())
 
 
 async def bring_back(site, copy, away, cut=True):
-    """Have the store go away for some seconds, and come back from a copy."""
+    """Restore the store from a copy, after an outage of `away` seconds."""
     if away:
         site.store.faults.down = True
         site.store.wake()
@@ -107,6 +108,6 @@
 
 
 async def wait_in_force(site, version):
-    """Wait until all gateways have a version in force."""
+    """Wait until a configuration version is in force at all gateways."""
     for running in site.gateways.values():
         await wait_until(lambda g=running.gateway: g.config_version == version, "in force")
--- a/tests/quality/test_decisions.py
+++ b/tests/quality/test_decisions.py
@@ -1,4 +1,4 @@
-"""Regression bounds of the decisions, on fixed traces: a run depends on its seed alone."""
+"""Regression bounds on the decisions of the policies, on traces with fixed seeds."""
 
 import pytest
 
@@ -45,10 +45,10 @@
     runs = len(quarantine.SEEDS)
     assert kept.crashes / runs <= 4.0
     assert 1 - kept.served / kept.streams <= 0.03
-    # One crash more before it is kept back costs engines and streams.
+    # A higher threshold costs engines and streams.
     assert later.crashes > kept.crashes
     assert later.served / later.streams < kept.served / kept.streams
     assert never.crashes > 10 * kept.crashes
     assert 1 - never.served / never.streams > 0.5
-    # Few of those that ran beside it are taken for it.
-    assert kept.kept_back / runs <= 2
+    # Few streams that ran beside the deadly request are quarantined.
+    assert kept.quarantined / runs <= 2
--- a/tests/quality/test_scenarios.py
+++ b/tests/quality/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario file, against the real processes and the stand-ins."""
+"""Runs every scenario file with the system's processes and the stand-ins."""
 
 from pathlib import Path
 
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays rounds by hand: python -m tests.soak --first 1 --seeds 50 [--hosts 4] [--seconds 6]."""
+"""Runs soak rounds: python -m tests.soak --first 1 --seeds 50 [--hosts 4] [--seconds 6]."""
 
 import asyncio
 import signal
@@ -12,8 +12,8 @@
 
 
 def play(first=1, seeds=10, hosts=4, seconds=6.0, callers=12):
-    """Play rounds; each that finds something keeps its logs, and the last line counts them."""
-    # A soak that is ended from outside takes its processes along.
+    """Run a round per seed and print its findings; the last line lists the failed seeds."""
+    # SIGTERM raises KeyboardInterrupt, so that the processes of the round are ended.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     failed = []
     for seed in range(first, first + seeds):
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and what each of them saw of its requests."""
+"""Callers with persistent connections, and their observations of each request."""
 
 import asyncio
 import contextlib
@@ -9,17 +9,20 @@
 from tests.hosted.sites import LONG, SHORT
 from tests.soak.processes import KEY, OTHER_KEY
 
-# Seconds after which a caller gives a request up; routes end theirs after two.
-PATIENCE_SECONDS = 4.0
+# Must exceed the timeout of the routes, which is about 2 s.
+CALLER_TIMEOUT_SECONDS = 4.0
 EVENTS = 4
 STREAMS = {"verdict": LONG, "chat": SHORT}
-# Kinds that may run once only.
-ONCE = ("chat", "goal")
+# Kinds of requests that may run only once.
+RUN_ONCE_KINDS = ("chat", "goal")
 
 
 @dataclass(frozen=True)
 class Observation:
-    """One request as its caller saw it; a status of 0 stands for no answer."""
+    """One request as seen by its caller.
+
+    `answer` is None if the caller timed out; its status is 0 if the connection ended without one.
+    """
 
     name: str
     kind: str
@@ -36,7 +39,7 @@
     return make_content(name)
 
 
-def write_kind(kind, name, key):
+def write_request_of_kind(kind, name, key):
     if kind in STREAMS:
         usage = STREAMS[kind]
         return write_request(
@@ -46,7 +49,7 @@
 
 
 class CallerSet:
-    """Some callers, each with one request at a time, until they are stopped."""
+    """Concurrent callers that send one request at a time until they are stopped."""
 
     def __init__(self, site, rng, count):
         self._site = site
@@ -54,7 +57,7 @@
         self._count = count
         self._tasks = []
         self._numbers = iter(range(1, 1_000_000))
-        self.seen = []
+        self.observations = []
 
     def start(self):
         self._tasks = [asyncio.ensure_future(self._run()) for _ in range(self._count)]
@@ -73,9 +76,8 @@
             except (OSError, TimeoutError):
                 await asyncio.sleep(0.05)
                 continue
-            # Asked on one connection until it ends or is left for another host.
-            # Callers go on with their key, also where it is taken away.
-            key = self._rng.choice((KEY, OTHER_KEY, self._site.passing_key))
+            # Sends several requests on one connection, with the same key even after its revocation.
+            key = self._rng.choice((KEY, OTHER_KEY, self._site.revocable_key))
             with contextlib.suppress(OSError):
                 for _ in range(self._rng.randint(1, 30)):
                     if not await self._ask(caller, host.name, key):
@@ -83,19 +85,19 @@
             caller.close()
 
     async def _ask(self, caller, host, key):
-        """Ask once; return whether the connection can go on."""
+        """Send one request; return whether the connection can be reused."""
         kind = self._rng.choice(("verdict", "chat", "goal", "goal", "card"))
         name = f"{kind}-{next(self._numbers)}"
         loop = asyncio.get_running_loop()
         began = loop.time()
-        caller.send(write_kind(kind, name, key))
+        caller.send(write_request_of_kind(kind, name, key))
         answer = None
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
                 answer = await caller.read_answer()
         except TimeoutError:
-            # Given up on: the answer stays unknown.
+            # The outcome of the request stays unknown.
             pass
-        self.seen.append(Observation(name, kind, host, answer, began, loop.time(), key))
+        self.observations.append(Observation(name, kind, host, answer, began, loop.time(), key))
         await asyncio.sleep(self._rng.random() * 0.02)
         return answer is not None and answer.whole and answer.headers.get("connection") != "close"
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""Gateways as separate processes, and the stand-ins that they meet through proxies."""
+"""Gateways as separate processes, which reach the stand-ins through proxies."""
 
 import asyncio
 import json
@@ -18,24 +18,25 @@
 PROGRAM = Path(__file__).resolve().parents[2] / "deploy" / "gateway.py"
 GRACE_SECONDS = 4
 METRICS_PORT = 9464
-# How long an upstream is away after a crash, and by how much its next start is later.
-AWAY_SECONDS = 0.5
-LATER_START_MS = 60_000
-# For how long a key may be served after it was taken away, and the keys that stay.
+# Downtime of an upstream after a crash, and the increment of its reported start time.
+DOWN_SECONDS = 0.5
+BORN_INCREMENT_MS = 60_000
+# Time for which a revoked key may still be served.
 REVOKE_MS = 2000
+# Keys that are never revoked.
 KEY, OTHER_KEY = "key-of-club", "key-of-liaison"
 SCALING = {"min": 1, "max": 4, "bootS": 0.2, "spotPrice": 0.15, "zonePrices": {}}
 
 
 class GatewayProcess:
-    """One host: its settings file, its address, and the process that runs there now."""
+    """One host: its settings file, its addresses and its current process."""
 
     def __init__(self, name, settings, folder):
         self.name = name
         self.settings = settings
-        self.callers = split(settings["listen"]["front"])
-        self.ready = split(settings["listen"]["ready"])
-        self.pages = (settings["ip"], METRICS_PORT)
+        self.callers = split_address(settings["listen"]["front"])
+        self.ready = split_address(settings["listen"]["ready"])
+        self.ops_address = (settings["ip"], METRICS_PORT)
         self.process = None
         self.starts = 0
         self._file = folder / f"{name}.json"
@@ -54,11 +55,11 @@
             )
 
     @property
-    def runs(self):
+    def is_running(self):
         return self.process is not None and self.process.returncode is None
 
     def send(self, number):
-        if self.runs:
+        if self.is_running:
             self.process.send_signal(number)
 
     async def kill(self):
@@ -68,32 +69,32 @@
 
 
 class ProcessSite(Site):
-    """A site whose stand-ins are reached through proxies, and whose gateways are processes."""
+    """A site with proxies before the stand-ins and with gateways in separate processes."""
 
     def __init__(self, folder):
         super().__init__()
-        # When each key that was taken away was acknowledged as such, in the loop's time.
-        # The loop's times at which keys were taken away, and brought after the beginning.
+        # Times of the revocation of keys, and of their addition after the start of the round, in
+        # seconds of the event loop's clock.
         self.removed_keys = {}
-        self.brought_keys = {}
-        # The upstreams that were there at the start; others come and go by orders.
-        self.fixed = []
+        self.added_keys = {}
+        # The upstreams that exist from the start; others are started and stopped by orders.
+        self.initial_upstreams = []
         self.folder = folder
         self.proxies = {}
         self.hosts = {}
 
     async def _serve(self, name, handler):
         address = await super()._serve(name, handler)
-        proxy = Proxy(split(address))
+        proxy = Proxy(split_address(address))
         self.proxies[name] = proxy
         return await proxy.open()
 
-    async def _stay_away(self, upstream, seconds, later_start, way):
+    async def _crash_and_restart(self, upstream, seconds, born_increment_ms, mode):
         proxy = self.proxies[upstream.instance]
-        proxy.shut()
+        proxy.stop_accepting()
         await asyncio.sleep(seconds)
-        upstream.restart(upstream.born + later_start)
-        await proxy.open(split(self.addresses[upstream.instance])[1])
+        upstream.restart(upstream.born + born_increment_ms)
+        await proxy.open(split_address(self.addresses[upstream.instance])[1])
         self.list_upstream(upstream)
 
     async def build(self, hosts):
@@ -111,30 +112,30 @@
             await self.add_upstream(StandInEngine(f"e{number}", "model", zone, role))
         for number in range(3):
             await self.add_upstream(StandInUpstream(f"s{number}", "alerts", "hall-a"))
-        self.fixed = list(self.upstreams.values())
-        self.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+        self.initial_upstreams = list(self.upstreams.values())
+        self.allow_crashes(DOWN_SECONDS, BORN_INCREMENT_MS)
         self.declare()
         for number in range(hosts):
-            # A large fleet has schedulers and representatives in each zone.
+            # A large fleet has schedulers and zone aggregators in each zone.
             zone = ZONES[number % len(ZONES)] if is_large_fleet(hosts) else ZONES[0]
-            settings = self._settings_of(f"g{number}", number, zone)
+            settings = self._build_settings(f"g{number}", number, zone)
             self.hosts[f"g{number}"] = GatewayProcess(f"g{number}", settings, self.folder)
         await asyncio.gather(*(host.start() for host in self.hosts.values()))
 
     @property
-    def passing_key(self):
-        """The key that is to be taken away next."""
+    def revocable_key(self):
+        """The key that is revoked next."""
         return self.workspaces[0]["apiKeys"][1]
 
     def replace_key(self, key):
-        """Take the passing key away, and give another one in its place."""
-        former = self.passing_key
+        """Revoke the revocable key and add `key` instead."""
+        former = self.revocable_key
         self.workspaces[0] = {**self.workspaces[0], "apiKeys": [KEY, key]}
         self.declare()
         self.removed_keys[former] = asyncio.get_running_loop().time()
-        self.brought_keys[key] = self.removed_keys[former]
+        self.added_keys[key] = self.removed_keys[former]
 
-    def _settings_of(self, name, number, zone):
+    def _build_settings(self, name, number, zone):
         ip = pick_ip(number)
         settings = self._make_settings(name, ip, zone)
         settings["seeds"] = [f"{pick_ip(seed)}:1" for seed in range(3)]
@@ -145,13 +146,13 @@
 
     async def close(self):
         for host in self.hosts.values():
-            if host.runs:
+            if host.is_running:
                 await host.kill()
         for proxy in self.proxies.values():
             proxy.close()
         await self.stop()
 
 
-def split(address):
+def split_address(address):
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,27 +1,27 @@
-"""What must hold after a round: from what callers saw and what upstreams recorded."""
+"""Guarantees that are checked after a round, on the records of callers and upstreams."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass
 from typing import Any
 
 from bench.limits import allow, count_worst
-from tests.soak.callers import ONCE, expected_body
+from tests.soak.callers import RUN_ONCE_KINDS, expected_body
 from tests.soak.processes import OTHER_KEY
 
-# Crashes of one request after which it may reach few upstreams more, the seconds in which all hosts
-# must know of them, and how few.
-CRASHES, KNOWN_SECONDS, MORE = 3, 3.0, 3
-# Seconds in which hosts learn of a limit.
-LEARN_SECONDS = 3.0
-# Seconds after which a version must be in force at all hosts.
+# Number of crashes that quarantines a request, the seconds until all hosts must know of them, and
+# the maximum number of later crashes.
+CRASH_THRESHOLD, CRASHES_KNOWN_SECONDS, MAX_EXTRA_CRASHES = 3, 3.0, 3
+# Seconds until hosts must know of a limit.
+LIMIT_KNOWN_SECONDS = 3.0
+# Seconds until a version must be in force at all hosts.
 IN_FORCE_SECONDS = 2.0
-# Statuses that promise that a request has not run and never will.
+# Statuses that guarantee that a request has not run and never will.
 NOT_RUN = (408, 421, 429, 503)
 
 
 @dataclass(frozen=True)
 class NamedLimit:
-    """A limit that an upstream named, in requests a second, and the loop's times of it."""
+    """A limit that an upstream announced; `rate` per second, times of the event loop's clock."""
 
     upstream: Any
     rate: float
@@ -29,20 +29,20 @@
     ended: float
 
 
-def list_all(site):
-    """Return all upstreams that there were, with what they recorded."""
+def list_all_upstreams(site):
+    """Return all upstreams of the round, also removed ones."""
     return [*site.upstreams.values(), *site.duties.ended]
 
 
 def count_runs(site):
     runs = Counter()
-    for upstream in list_all(site):
+    for upstream in list_all_upstreams(site):
         runs.update(upstream.runs)
     return runs
 
 
-def check_answers(seen):
-    for item in seen:
+def check_answers(observations):
+    for item in observations:
         answer = item.answer
         if answer is None or not answer.whole or answer.status != 200:
             continue
@@ -52,9 +52,9 @@
             yield f"{item.name}: another body: {answer.body[:80]!r}"
 
 
-def check_runs(seen, runs):
-    for item in seen:
-        if item.kind not in ONCE:
+def check_runs(observations, runs):
+    for item in observations:
+        if item.kind not in RUN_ONCE_KINDS:
             continue
         if runs[item.name] > 1:
             yield f"{item.name}: ran {runs[item.name]} times"
@@ -62,41 +62,40 @@
             yield f"{item.name}: refused with {item.answer.status} and ran"
 
 
-def check_planned(seen, runs):
-    """In a round of planned work alone no request that ran goes without its answer."""
-    for item in seen:
+def check_planned(observations, runs):
+    """Check that no request that ran lost its answer; holds in rounds of planned work only."""
+    for item in observations:
         lost = item.answer is not None and item.answer.status == 0
         if lost and runs[item.name]:
             yield f"{item.name}: ran, and its connection to {item.host} ended without an answer"
 
 
-def check_keys(seen, runs, removed, bound, brought):
-    """`removed` holds when each key was taken away; it may be served for `bound` seconds more.
+def check_keys(observations, runs, removed, bound, added):
+    """Check that revoked keys are not served and that valid keys are not refused.
 
-    `brought` holds when keys came after the beginning. Hosts may refuse one until its version must
-    be in force: a round was found by 401 for a key that all four hosts heard of 0.25 s after the
-    first of these.
+    `removed` holds the times of revocation; a key may be served for `bound` seconds more. `added`
+    holds the times of addition; a key may be refused until its version must be in force.
     """
-    for item in seen:
+    for item in observations:
         at = removed.get(item.key)
         if at is not None and item.began > at + bound and runs[item.name]:
             late = item.began - at
-            yield f"{item.name}: ran with {item.key}, sent {late:.2f} s after that was taken away"
-        in_force_at = brought.get(item.key, float("-inf")) + IN_FORCE_SECONDS
+            yield f"{item.name}: ran with {item.key}, sent {late:.2f} s after its revocation"
+        in_force_at = added.get(item.key, float("-inf")) + IN_FORCE_SECONDS
         refused = item.answer is not None and item.answer.status == 401
         if at is None and refused and item.began > in_force_at:
             yield f"{item.name}: refused for {item.key}, which is in force"
 
 
-def check_workspaces(site, seen):
-    """Upstreams learn whose key a request carries, and never the key."""
-    owners = {item.name: "liaison" if item.key == OTHER_KEY else "club" for item in seen}
-    for upstream in list_all(site):
+def check_workspaces(site, observations):
+    """Check that upstreams get the workspace of each request, and never the key."""
+    owners = {item.name: "liaison" if item.key == OTHER_KEY else "club" for item in observations}
+    for upstream in list_all_upstreams(site):
         for name, headers in upstream.arrivals:
             if "x-key" in headers:
-                yield f"{name}: its key was passed on"
+                yield f"{name}: its key was forwarded to the upstream"
             if name in owners and headers.get("x-tenant") != owners[name]:
-                yield f"{name}: {headers.get('x-tenant')} in place of {owners[name]}"
+                yield f"{name}: workspace {headers.get('x-tenant')}, expected {owners[name]}"
 
 
 def check_duties(site):
@@ -105,7 +104,7 @@
 
 def check_orders(site):
     holders = defaultdict(set)
-    for upstream in list_all(site):
+    for upstream in list_all_upstreams(site):
         name, last = upstream.instance, 0
         for order in getattr(upstream, "arrived_orders", ()):
             if order["fenceToken"] < last:
@@ -118,24 +117,28 @@
 
 
 def check_versions(versions):
-    """`versions` holds, for each life of a process, the versions that it showed in order."""
-    for life, shown in versions.items():
+    """Check `versions`: for each incarnation of a process, its reported versions in order."""
+    for incarnation, shown in versions.items():
         if shown != sorted(shown):
-            yield f"{life}: versions went back: {shown}"
+            yield f"{incarnation}: the configuration version decreased: {shown}"
 
 
 def check_crashes(crash_times):
-    """`crash_times` holds, for each deadly request, when it crashed an upstream."""
+    """Check `crash_times`, the times of the crashes by deadly request."""
     for body, times in crash_times.items():
-        late = [at for at in times[CRASHES:] if at > times[CRASHES - 1] + KNOWN_SECONDS]
-        if len(late) > MORE:
+        late = [
+            at
+            for at in times[CRASH_THRESHOLD:]
+            if at > times[CRASH_THRESHOLD - 1] + CRASHES_KNOWN_SECONDS
+        ]
+        if len(late) > MAX_EXTRA_CRASHES:
             yield f"{body!r}: {len(times)} crashes, {len(late)} of them late"
 
 
 def check_limits(limits):
-    """In a round of planned work alone an upstream gets no more than it takes."""
+    """Check that no upstream gets more than its limit; holds in rounds of planned work only."""
     for limit in limits:
-        first = limit.began + LEARN_SECONDS
+        first = limit.began + LIMIT_KNOWN_SECONDS
         times = [at for at in limit.upstream.arrived_at if first <= at <= limit.ended]
         worst, allowed = count_worst(times), allow(limit.rate)
         if worst > allowed:
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,12 +1,12 @@
-"""A loopback proxy between gateways and one stand-in, which delays, holds or resets."""
+"""A loopback proxy between gateways and one stand-in that delays, holds or resets."""
 
 import asyncio
 import contextlib
 from enum import Enum
 
 
-class Way(Enum):
-    """How the proxy treats bytes now."""
+class ProxyMode(Enum):
+    """What the proxy does with the bytes it receives."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -15,20 +15,20 @@
     SILENT = "silent"
 
 
-HELD = {
-    True: (Way.HOLD_REQUESTS, Way.SILENT),
-    False: (Way.HOLD_ANSWERS, Way.SILENT),
+HOLDING_MODES = {
+    True: (ProxyMode.HOLD_REQUESTS, ProxyMode.SILENT),
+    False: (ProxyMode.HOLD_ANSWERS, ProxyMode.SILENT),
 }
 DELAY_SECONDS = 0.15
 CHUNK_BYTES = 65536
 
 
 class Proxy:
-    """Passes connections on to one address; its way may change at any moment."""
+    """Forwards connections to one address; the mode also applies to open connections."""
 
     def __init__(self, target):
         self._target = target
-        self._way = Way.PASS
+        self._mode = ProxyMode.PASS
         self._changed = asyncio.Event()
         self._server = None
         self._writers = set()
@@ -39,8 +39,8 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
-    def set_way(self, way):
-        self._way = way
+    def set_mode(self, mode):
+        self._mode = mode
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -48,13 +48,13 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def shut(self):
-        """Refuse new connections and reset those that are open, as a process that ends does."""
+    def stop_accepting(self):
+        """Refuse new connections and reset open ones, like a process that ends."""
         self._server.close()
         self.reset()
 
     def close(self):
-        self.shut()
+        self.stop_accepting()
         for task in self._tasks:
             task.cancel()
 
@@ -63,28 +63,27 @@
         self._tasks.add(task)
         self._writers.add(writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
-            self._writers.add(far_writer)
+            upstream_reader, upstream_writer = await asyncio.open_connection(*self._target)
+            self._writers.add(upstream_writer)
             await asyncio.gather(
-                self._pump(reader, far_writer, requests=True),
-                self._pump(far_reader, writer, requests=False),
+                self._forward(reader, upstream_writer, requests=True),
+                self._forward(upstream_reader, writer, requests=False),
             )
-            self._writers.discard(far_writer)
+            self._writers.discard(upstream_writer)
         except (OSError, asyncio.CancelledError):
-            # The stand-in is down, so that the gateway sees its connection reset; or the round
-            # is over.
+            # The stand-in is down, and the gateway's connection is reset below; or the round ends.
             pass
         finally:
             writer.transport.abort()
             self._writers.discard(writer)
             self._tasks.discard(task)
 
-    async def _pump(self, reader, writer, requests):
+    async def _forward(self, reader, writer, requests):
         try:
             while data := await reader.read(CHUNK_BYTES):
-                while self._way in HELD[requests]:
+                while self._mode in HOLDING_MODES[requests]:
                     await self._changed.wait()
-                if self._way is Way.DELAY:
+                if self._mode is ProxyMode.DELAY:
                     await asyncio.sleep(DELAY_SECONDS)
                 writer.write(data)
                 await writer.drain()
--- a/tests/soak/rounds.py
+++ b/tests/soak/rounds.py
@@ -1,4 +1,4 @@
-"""One round of the soak: a seed, processes, faults, callers, and then the promises."""
+"""One soak round: starts processes, injects seeded faults under load and checks guarantees."""
 
 import asyncio
 import contextlib
@@ -13,13 +13,13 @@
 from tests.soak.faults import Faults, is_ready
 from tests.soak.processes import KEY, REVOKE_MS, ProcessSite
 
-# Seconds in which each host must serve each kind of request again after the last fault.
+# Seconds until each host must serve each kind of request after the last fault.
 RECOVERY_SECONDS = 30
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a round found, and how much it saw."""
+    """Violations found in a round, its faults, and its numbers of requests."""
 
     seed: int
     findings: list[str]
@@ -29,41 +29,43 @@
 
 
 async def run_round(seed, folder, hosts=4, seconds=6.0, callers=12):
-    """Play one round. Every third seed is of planned work alone."""
+    """Run one round. Every third seed has planned work only."""
     rng = random.Random(seed)
     site = ProcessSite(folder)
     await site.build(hosts)
-    watching = None
+    version_watcher = None
     try:
         await wait_for_hosts(site)
         versions = defaultdict(list)
-        watching = asyncio.ensure_future(watch_versions(site, versions))
-        crowd = CallerSet(site, rng, callers)
+        version_watcher = asyncio.ensure_future(watch_versions(site, versions))
+        caller_set = CallerSet(site, rng, callers)
         faults = Faults(site, rng)
         planned = seed % 3 == 0
-        crowd.start()
+        caller_set.start()
         await faults.run(seconds, planned)
-        await crowd.stop()
+        await caller_set.stop()
         findings = list(faults.findings) + await check_recovery(site)
         runs = promises.count_runs(site)
-        findings += promises.check_answers(crowd.seen)
-        findings += promises.check_runs(crowd.seen, runs)
+        findings += promises.check_answers(caller_set.observations)
+        findings += promises.check_runs(caller_set.observations, runs)
         findings += promises.check_orders(site)
         findings += promises.check_versions(versions)
         findings += promises.check_crashes(site.crash_times)
         findings += promises.check_keys(
-            crowd.seen, runs, site.removed_keys, REVOKE_MS / 1000, site.brought_keys
+            caller_set.observations, runs, site.removed_keys, REVOKE_MS / 1000, site.added_keys
         )
-        findings += promises.check_workspaces(site, crowd.seen)
+        findings += promises.check_workspaces(site, caller_set.observations)
         findings += promises.check_duties(site)
         if planned:
-            findings += promises.check_planned(crowd.seen, runs)
+            findings += promises.check_planned(caller_set.observations, runs)
             findings += promises.check_limits(faults.limits)
-        served = sum(1 for item in crowd.seen if item.answer and item.answer.status == 200)
-        return Outcome(seed, findings, faults.log, len(crowd.seen), served)
+        served = sum(
+            1 for item in caller_set.observations if item.answer and item.answer.status == 200
+        )
+        return Outcome(seed, findings, faults.log, len(caller_set.observations), served)
     finally:
-        if watching is not None:
-            watching.cancel()
+        if version_watcher is not None:
+            version_watcher.cancel()
         await site.close()
 
 
@@ -75,8 +77,8 @@
 
 
 async def check_recovery(site):
-    """Return the hosts and kinds of requests that do not come back."""
-    for upstream in site.fixed:
+    """Return a finding for each host and kind of request that is not served again."""
+    for upstream in site.initial_upstreams:
         upstream.script.steps.clear()
         upstream.says, upstream.rest = [], b""
         site.list_upstream(upstream)
@@ -106,20 +108,20 @@
 
 
 async def watch_versions(site, versions):
-    """Keep the versions that each life of each process shows."""
+    """Record the configuration versions that each incarnation of each process reports."""
     while True:
         for host in site.hosts.values():
-            life = f"{host.name} life {host.starts}"
+            incarnation = f"{host.name} start {host.starts}"
             with contextlib.suppress(OSError, TimeoutError, ValueError):
                 async with asyncio.timeout(0.5):
                     version = await read_version(host)
-                if life == f"{host.name} life {host.starts}" and version is not None:
-                    versions[life].append(version)
+                if incarnation == f"{host.name} start {host.starts}" and version is not None:
+                    versions[incarnation].append(version)
         await asyncio.sleep(0.1)
 
 
 async def read_version(host):
-    caller = await RawCaller.connect(host.pages)
+    caller = await RawCaller.connect(host.ops_address)
     caller.send(write_request("/debug/state", "state", method="GET"))
     try:
         answer = await caller.read_answer()
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -1,4 +1,4 @@
-"""The soak's own checks notice what they are for."""
+"""The checks of the soak detect the violations that they are for."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -29,7 +29,7 @@
         (observe(status=503, body=b""), 0),
     ],
 )
-def test_an_answer_that_is_not_the_callers_own_and_whole_is_found(seen, found):
+def test_an_answer_to_another_request_or_with_a_wrong_body_is_found(seen, found):
     assert len(list(promises.check_answers([seen]))) == found
 
 
@@ -71,7 +71,7 @@
     assert len(list(promises.check_orders(site))) == found
 
 
-def test_a_version_that_goes_back_within_one_life_is_found():
+def test_a_version_that_decreases_within_one_incarnation_is_found():
     shown = {"g0 life 1": [3, 6], "g0 life 2": [3, 3], "g1 life 1": [6, 3]}
     assert len(list(promises.check_versions(shown))) == 1
 
@@ -85,7 +85,7 @@
         ([0.0, 1.0, 2.0, 5.1, 5.2, 5.3, 5.4], 1),
     ],
 )
-def test_a_request_that_goes_on_crashing_upstreams_is_found(times, found):
+def test_a_request_that_continues_to_crash_upstreams_is_found(times, found):
     assert len(list(promises.check_crashes({b"deadly 1": times}))) == found
 
 
@@ -96,14 +96,14 @@
         ("gone", 12.1, True, 200, 1),
         ("gone", 12.1, False, 401, 0),
         ("stays", 12.1, True, 200, 0),
-        # A key that is in force is refused by no host, however little it knows.
+        # No host may refuse a key that is in force.
         ("stays", 12.1, False, 401, 1),
         ("stays", 12.1, False, 503, 0),
         ("new", 11.9, False, 401, 0),
         ("new", 12.1, False, 401, 1),
     ],
 )
-def test_keys_that_run_beyond_their_bound_or_are_refused_in_force_are_found(
+def test_keys_that_are_served_after_revocation_or_refused_in_force_are_found(
     key, sent_at, ran, status, wanted
 ):
     seen = [Observation("goal-1", "goal", "g0", Answer(status), sent_at, sent_at + 0.1, key)]
@@ -120,7 +120,7 @@
         ({"x-tenant": "club", "x-key": "k"}, 1),
     ],
 )
-def test_a_key_that_is_passed_on_or_another_workspace_is_found(headers, wanted):
+def test_a_forwarded_key_or_a_wrong_workspace_is_found(headers, wanted):
     seen = [Observation("goal-1", "goal", "g0", None, 0.0, 0.1, "key-of-club")]
     upstream = SimpleNamespace(arrivals=[("goal-1", headers)])
     site = SimpleNamespace(upstreams={"s0": upstream}, duties=SimpleNamespace(ended=[]))
@@ -131,7 +131,7 @@
     ("times", "found"),
     [([], 0), ([1.0] * 50, 0), ([4.0] * 11, 0), ([4.0] * 12, 1), ([4.0, 9.0] * 11, 0)],
 )
-def test_more_requests_than_an_upstream_takes_are_found(times, found):
+def test_more_requests_than_the_limit_of_an_upstream_are_found(times, found):
     upstream = SimpleNamespace(instance="s0", arrived_at=times)
     limit = promises.NamedLimit(upstream, 1.0, began=0.5, ended=10.0)
     assert len(list(promises.check_limits([limit]))) == found
