--- a/bench/model.py
+++ b/bench/model.py
@@ -16,7 +16,7 @@
 from swifttrestle.internal.policy.retry_budget import RetryBudget
 from swifttrestle.internal.policy.roles import EngineLoad, RolePlanner
 from swifttrestle.internal.policy.routing import Candidate, RequestEstimate, Router
-from swifttrestle.internal.protocol.engine import EngineState, Holding, LoadReport
+from swifttrestle.internal.protocol.engine import EngineAssignment, EngineState, LoadReport
 from swifttrestle.internal.protocol.prefixes import BLOCK_TOKENS
 from swifttrestle.internal.state.closings import ClosingTable
 from swifttrestle.internal.state.upstreams import UpstreamRequirements, UpstreamTable
@@ -159,7 +159,7 @@
 
     def report(self, now: float) -> LoadReport:
         """Return the current load."""
-        holding = Holding("m", "v1", (), self.role)
+        holding = EngineAssignment("m", "v1", (), self.role)
         state = EngineState(self.name, holding, now < self.away_until, "", 0)
         tokens = sum(request.left for request in self.waiting)
         return LoadReport(
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -154,7 +154,7 @@
         self.set_way("busy" if outage.seconds else "up")
         await asyncio.sleep(outage.seconds)
         if not outage.plain:
-            self.stand_in.come_back(copy)
+            self.stand_in.restore(copy)
         self.set_way("up")
         found = await self.measure_recovery()
         for task in tasks:
--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -34,7 +34,7 @@
 from swifttrestle.internal.settings import ENV_PREFIX, check_platform, read_environment
 from swifttrestle.internal.transport.http import make_client
 from swifttrestle.internal.validated_fields import format_default
-from swifttrestle.resources import KINDS, find_faults, group_resources, parse_resource
+from swifttrestle.resources import KINDS, find_reference_errors, group_resources, parse_resource
 
 OUTPUTS = ("table", "yaml", "json")
 EXIT_REFUSED = 1
@@ -261,7 +261,7 @@
                 merged[f"{kind}/{item.name}"] = (kind, item.name, strip_nonce(item))
         merged |= {d.key: (d.kind, d.name, d.spec) for d in documents}
         parsed = [parse_resource(*parts).value_or(None) for parts in merged.values()]
-        faults = find_faults(
+        faults = find_reference_errors(
             group_resources(resource for resource in parsed if resource is not None)
         )
         paths = {document.key: document.path for document in documents}
--- a/src/swifttrestle/entry.py
+++ b/src/swifttrestle/entry.py
@@ -23,7 +23,7 @@
 from swifttrestle.internal.state.closings import ClosingTable
 from swifttrestle.internal.state.upstreams import UpstreamTable
 from swifttrestle.internal.transport.http import make_server, server_address
-from swifttrestle.internal.transport.pump import Pump
+from swifttrestle.internal.transport.stream_relay import StreamRelay
 
 PROGRAM = "swifttrestle-entry"
 RESUME_THREADS = 16
@@ -50,7 +50,7 @@
             name=settings.name,
         )
         self._attempts = attempts
-        self.pump = Pump()
+        self.pump = StreamRelay()
         relay_context = RelayContext(
             self.pump,
             attempts,
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from swifttrestle.errors import InvalidSettingError
+from swifttrestle.internal.boottime_loop import run_in_loop
 from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.coordination.discovery import RESTORE_SPREAD_SECONDS, Discovery
 from swifttrestle.internal.coordination.duties import Duties
@@ -29,7 +30,6 @@
 from swifttrestle.internal.forward.rate_limiter import DistributedRateLimiter
 from swifttrestle.internal.forward.scheduled_booking import NUMBER_BITS, ScheduledBooker
 from swifttrestle.internal.listeners import Listeners
-from swifttrestle.internal.loop import run_in_loop
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.operator_pages import READY_PATH, OperatorPages
 from swifttrestle.internal.pages import PageHandler
@@ -83,7 +83,7 @@
         self._state = GatewayState(settings.zone, self._fleet, self._budgets, self._metrics, rng)
         self._skipped_entries = SkippedEntries(self._count_skipped_entry)
         self._store = ObjectStore(settings.store, ConnectionPool(UNACKNOWLEDGED_MS))
-        self._store.epochs.on_return = self._handle_store_return
+        self._store.epochs.on_restore = self._handle_store_return
         self._configuration = ConfigurationWatcher(
             self._store,
             rng,
@@ -129,7 +129,7 @@
             settings.is_in_same_region,
         )
         self._gossip.recipients.list_schedulers = self._booker.list_schedulers
-        self._quarantine = QuarantineStore(
+        self._quarantine_store = QuarantineStore(
             self._store,
             self._state.guard,
             settings.host,
@@ -137,13 +137,13 @@
             rng,
             self._skipped_entries,
         )
-        self._crashes = QuarantineRelay(
+        self._quarantine_relay = QuarantineRelay(
             socket,
             settings.host,
             self._state.guard,
             self._gossip.list_members,
             rng,
-            self._quarantine.note_change,
+            self._quarantine_store.note_change,
         )
         self._median_clock = MedianClock()
         self._freshness_monitor = FreshnessMonitor(
@@ -153,7 +153,7 @@
             self._gossip.list_members,
             self._gossip.fetch_later,
             self._median_clock,
-            bounds.revocation,
+            bounds.revocation_seconds,
             rng,
         )
         self._duties = Duties(
@@ -174,7 +174,7 @@
             self._booker,
             lambda: self._configuration.table,
             lambda: self._configuration.freshness.confirmed_at,
-            bounds.revocation,
+            bounds.revocation_seconds,
             self._duties.usage.count_request,
         )
         self._state.permits = permits = DistributedRateLimiter(
@@ -216,8 +216,8 @@
         self._start(self._booker.run())
         self._start(self._state.conditions.run())
         self._start(self._prompt_cache_loader.run())
-        self._start(self._quarantine.run())
-        self._start(self._crashes.run())
+        self._start(self._quarantine_store.run())
+        self._start(self._quarantine_relay.run())
         self._start(self._freshness_monitor.run())
         for task in self._duties.list_tasks():
             self._start(task)
@@ -329,7 +329,7 @@
         live_hosts = self._gossip.live_hosts()
         if len(live_hosts) > self._budgets.hosts:
             # After a partition, hosts may have missed each other's crash reports.
-            self._crashes.request_sync()
+            self._quarantine_relay.request_sync()
         self._budgets.hosts = len(live_hosts)
         self._serve_queues()
 
@@ -337,7 +337,7 @@
         """After a restore of the store from a backup, read it and write own entries again."""
         delay = self._rng.random() * RESTORE_SPREAD_SECONDS
         asyncio.get_running_loop().call_later(delay, self._configuration.reload_after_restore)
-        self._quarantine.note_change()
+        self._quarantine_store.note_change()
         self._start(self._gossip.restore_registration(self._store))
 
     def _get_configuration(self) -> Configuration | None:
--- a/src/swifttrestle/internal/coordination/acceptance.py
+++ b/src/swifttrestle/internal/coordination/acceptance.py
@@ -18,7 +18,7 @@
     KINDS,
     FieldFault,
     Resource,
-    find_faults,
+    find_reference_errors,
     group_resources,
     parse_resource,
 )
@@ -51,7 +51,7 @@
                 if key in accepted:
                     wanted[key] = accepted[key]
     for _ in range(len(KINDS)):
-        conflicts = find_faults(group_resources(wanted.values()))
+        conflicts = find_reference_errors(group_resources(wanted.values()))
         if not conflicts:
             return AcceptanceResult(wanted, tuple(faults))
         faults.extend(conflict for conflict in conflicts if conflict not in faults)
--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.state.peers import NEVER, PeerTable
 
 
-class RoleCandidates:
+class DutyCandidates:
     """The hosts that may hold the duty lease, in order of preference.
 
     Hosts that cannot reach the store are left out, since they can neither hold nor take the lease.
@@ -59,7 +59,7 @@
             (
                 peer.host
                 for peer in self._peers.peers.values()
-                if peer.zone == zone and peer.is_heard(now) and peer.holds_duty_lease(now)
+                if peer.zone == zone and peer.is_alive(now) and peer.holds_duty_lease(now)
             ),
             "",
         )
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -88,7 +88,7 @@
         self._away = False
         # Number of outages that are over. A short one may pass between two reads of
         # `store_unreachable`.
-        self.store_returns = 0
+        self.store_recoveries = 0
         self._availability = StoreAvailability()
         self.removals = Removals(fleet, changed, find_up_since)
         self._restored_entries = RestoredEntries(fleet)
@@ -312,7 +312,7 @@
         self._availability.record_answer(now)
         if self._away:
             self._away = False
-            self.store_returns += 1
+            self.store_recoveries += 1
             self.removals.note_outage_end(now)
             log_event("store regained", by="discovery")
 
@@ -320,7 +320,7 @@
         # A new watch could miss changes since the broken one: read the list again.
         self._must_list = True
         if not self._failures:
-            self.removals.note_outage(self._availability.answered_at)
+            self.removals.note_outage(self._availability.last_answer_at)
         self._availability.record_outage()
         self._failures += 1
         if self._failures >= FAILURES_FOR_OUTAGE and not self._away:
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -82,7 +82,7 @@
             gossip,
             find_configuration,
             lambda: discovery.store_unreachable,
-            lambda: discovery.store_returns,
+            lambda: discovery.store_recoveries,
             self.capacity.is_settling,
         )
 
--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -90,7 +90,7 @@
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def campaign(self) -> bool:
+    async def try_acquire(self) -> bool:
         """Try to acquire the lease; return whether this process holds it."""
         if self.lease is not None:
             return self._still_holds(self.lease)
--- a/src/swifttrestle/internal/coordination/exchange.py
+++ b/src/swifttrestle/internal/coordination/exchange.py
@@ -5,7 +5,7 @@
 from swifttrestle.errors import FrameError
 from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.event_log import log_event
-from swifttrestle.internal.protocol.copies import LARGEST_CONFIGURATION, pack_copy, unpack_copy
+from swifttrestle.internal.protocol.copies import MAX_CONFIGURATION_BYTES, pack_copy, unpack_copy
 from swifttrestle.internal.state.store_epochs import NO_REVISION, StoreRevision
 
 # Seconds to wait for this host's own watch before a newer configuration is fetched from a peer.
@@ -70,7 +70,7 @@
             reader, writer = await asyncio.open_connection(ip, self._port)
         try:
             writer.write(CONFIGURATION_REQUEST)
-            while len(content) <= LARGEST_CONFIGURATION:
+            while len(content) <= MAX_CONFIGURATION_BYTES:
                 async with asyncio.timeout(IO_TIMEOUT_SECONDS):
                     chunk = await reader.read(CHUNK_BYTES)
                 if not chunk:
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from swifttrestle.internal.coordination.candidates import RoleCandidates
+from swifttrestle.internal.coordination.candidates import DutyCandidates
 from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
 from swifttrestle.internal.coordination.entries import SkippedEntries
 from swifttrestle.internal.coordination.exchange import ConfigurationExchange
@@ -81,7 +81,7 @@
         self._sent_prompts = sent_prompts
         self._demand = ZoneDemand(me, self._peers, demand)
         self._rosters = Rosters(me, socket, self._peers, self._handle_summary, self._now)
-        self.candidates = RoleCandidates(me, self._peers, self._now)
+        self.candidates = DutyCandidates(me, self._peers, self._now)
         self.recipients = ReportRecipients(
             me,
             self._peers,
@@ -363,7 +363,7 @@
         self._handle_version(summary.host, ip, summary.config_version)
 
     def _note_heard(self, heartbeat: Heartbeat) -> bool:
-        joined = self._peers.note_heard(heartbeat, self._now())
+        joined = self._peers.record_heartbeat(heartbeat, self._now())
         if joined or heartbeat.leaving:
             self._log_live()
         return joined
--- a/src/swifttrestle/internal/coordination/orders.py
+++ b/src/swifttrestle/internal/coordination/orders.py
@@ -16,7 +16,7 @@
 from swifttrestle.errors import BadPlatformAnswerError, ConflictError
 from swifttrestle.internal.coordination.conditional_writes import read_or_none, write_once
 from swifttrestle.internal.coordination.object_cache import ObjectCache
-from swifttrestle.internal.protocol.engine import Holding, read_holding
+from swifttrestle.internal.protocol.engine import EngineAssignment, read_holding
 from swifttrestle.internal.protocol.platform import ObjectApi
 
 ORDER = "EngineOrder"
@@ -42,7 +42,7 @@
     engine: str
     number: int
     stage: Stage
-    wanted: Holding
+    wanted: EngineAssignment
     fence: int = 0
     boot: str = ""
     version: int = 0
@@ -97,7 +97,7 @@
         stored = read_or_none(self._api, ORDER, engine)
         return read_order(engine, stored.spec, stored.version) if stored else None
 
-    def open(self, engine: str, last: Order | None, wanted: Holding) -> Order:
+    def open(self, engine: str, last: Order | None, wanted: EngineAssignment) -> Order:
         """Record a new order; raise ConflictError if another was recorded since `last`."""
         if last is not None and last.is_open:
             raise ConflictError(f"order {last.order_id} is still open")
--- a/src/swifttrestle/internal/coordination/pools.py
+++ b/src/swifttrestle/internal/coordination/pools.py
@@ -31,7 +31,7 @@
 from swifttrestle.internal.policy.roles import EngineLoad, RolePlanner
 from swifttrestle.internal.protocol.engine import (
     Engine,
-    Holding,
+    EngineAssignment,
     HttpEngine,
 )
 from swifttrestle.internal.protocol.peers import ENTRY, Identity
@@ -197,7 +197,9 @@
             return False
         return True
 
-    def _find_wanted(self, upstream: Upstream, view: EngineView, config: ResourceSet) -> Holding:
+    def _find_wanted(
+        self, upstream: Upstream, view: EngineView, config: ResourceSet
+    ) -> EngineAssignment:
         assert view.state is not None
         model = config.models.get(upstream.model)
         if model is None:
@@ -209,9 +211,9 @@
         )
         planned = config.policy.plan_roles and view.state.holding.model == model.name
         role = view.state.holding.role if planned else upstream.role
-        return Holding(model.name, model.version, tuple(adapters), role)
+        return EngineAssignment(model.name, model.version, tuple(adapters), role)
 
-    def _start(self, upstream: Upstream, view: EngineView, wanted: Holding) -> None:
+    def _start(self, upstream: Upstream, view: EngineView, wanted: EngineAssignment) -> None:
         if self._is_last_ready(upstream, view):
             view.reason = "waits: no other engine of its pool is ready"
             return
@@ -282,8 +284,8 @@
 
     def _is_entry_dead(self, identity: Identity) -> bool:
         # An entry that sends heartbeats is alive, even if its host is listed as gone.
-        is_heard = self._membership.view(identity.name) is not None
-        return not is_heard and self._hosts.is_gone(identity.host)
+        is_alive = self._membership.view(identity.name) is not None
+        return not is_alive and self._hosts.is_gone(identity.host)
 
     def _drop_after_timeout(self, view: EngineView, order: Order) -> None:
         """Drop the order if an entry stays silent; the change is planned again later."""
@@ -336,7 +338,7 @@
         log_info("order done", order=order.order_id)
 
     def _send(
-        self, view: EngineView, order_id: str, wanted: Holding | None, fence: int = 0
+        self, view: EngineView, order_id: str, wanted: EngineAssignment | None, fence: int = 0
     ) -> None:
         number = fence or self._next_fence()
         self.lease.check()
@@ -395,5 +397,5 @@
         held = view.state.holding
         log_info("role planned", engine=change.engine, role=change.role, reason=change.reason)
         self._metrics.count("role_changes_total", pool=self.name)
-        wanted = Holding(held.model, held.version, held.adapters, change.role)
+        wanted = EngineAssignment(held.model, held.version, held.adapters, change.role)
         self._start(upstream, view, wanted)
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -39,7 +39,7 @@
 PUSHED_RECORDS = 4
 # How often a crash that this host saw is sent again, once with each periodic message. A request is
 # quarantined only where one host knows of two of its crashes.
-TOLD_AGAIN = 2
+CRASH_REPEATS = 2
 # Records sent in reply to a request; periodic messages carry the rest.
 MAX_REPLY_RECORDS = 8 * RECORDS_PER_DATAGRAM
 # How often a host requests records after it has started, been suspended or found new peers.
@@ -125,7 +125,7 @@
             return
         if any(is_quarantined(record) for record in records):
             self._changed()
-        self._repeats.append((TOLD_AGAIN, records))
+        self._repeats.append((CRASH_REPEATS, records))
         self._send_to_owners(records)
 
     def _send_to_owners(self, records: Sequence[CrashRecord]) -> None:
--- a/src/swifttrestle/internal/coordination/recipients.py
+++ b/src/swifttrestle/internal/coordination/recipients.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from swifttrestle.internal.coordination.candidates import RoleCandidates
+from swifttrestle.internal.coordination.candidates import DutyCandidates
 from swifttrestle.internal.coordination.representatives import Representatives
 from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.state.members import Member
@@ -29,7 +29,7 @@
         self,
         me: Member,
         peers: PeerTable,
-        candidates: RoleCandidates,
+        candidates: DutyCandidates,
         rng: random.Random,
         now: Callable[[], float],
         find_aggregator_heard_at: Callable[[], float],
--- a/src/swifttrestle/internal/coordination/removals.py
+++ b/src/swifttrestle/internal/coordination/removals.py
@@ -59,9 +59,9 @@
         """Return how many removals are held back."""
         return len(self._held)
 
-    def note_outage(self, answered_at: float) -> None:
-        """Record that the store stopped answering this host after `answered_at`."""
-        self._unreachable_since = answered_at
+    def note_outage(self, last_answer_at: float) -> None:
+        """Record that the store stopped answering this host after `last_answer_at`."""
+        self._unreachable_since = last_answer_at
 
     def note_outage_end(self, now: float) -> None:
         """Record that the store answers this host again."""
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -123,7 +123,7 @@
         # The lease is held even when no order is needed: a takeover takes seconds, in which the
         # last decoding engine may leave or the store may become unreachable.
         held_before = self._candidates.holds_duty_lease
-        self._candidates.holds_duty_lease = await self._lease.campaign()
+        self._candidates.holds_duty_lease = await self._lease.try_acquire()
         if not self._candidates.holds_duty_lease:
             return
         if not held_before:
--- a/src/swifttrestle/internal/coordination/store_availability.py
+++ b/src/swifttrestle/internal/coordination/store_availability.py
@@ -14,13 +14,13 @@
         """Start without an answer."""
         self._available_since = NEVER
         # The time of the last answer, minus infinity after an interruption.
-        self.answered_at = NEVER
+        self.last_answer_at = NEVER
 
     def record_answer(self, now: float) -> None:
         """Record that the store has answered."""
-        if now - self.answered_at > ANSWER_TIMEOUT_SECONDS:
+        if now - self.last_answer_at > ANSWER_TIMEOUT_SECONDS:
             self._available_since = now
-        self.answered_at = now
+        self.last_answer_at = now
 
     def record_outage(self) -> None:
         """Record that a call was not answered, or that no calls are made for now.
@@ -28,13 +28,13 @@
         A host that makes no calls could miss a short outage. Peers that relied on its report would
         then remove instances whose entries only expired in that outage.
         """
-        self.answered_at = NEVER
+        self.last_answer_at = NEVER
 
     def find_available_seconds(self, now: float) -> float:
         """Return the seconds for which the store has answered without interruption, or 0.
 
         Peers rely on it as proof that the store was available in that time.
         """
-        if now - self.answered_at > ANSWER_TIMEOUT_SECONDS:
+        if now - self.last_answer_at > ANSWER_TIMEOUT_SECONDS:
             return 0.0
         return now - self._available_since
--- a/src/swifttrestle/internal/coordination/zone_demand.py
+++ b/src/swifttrestle/internal/coordination/zone_demand.py
@@ -52,7 +52,7 @@
     def expire(self, now: float) -> None:
         """Drop the demand of hosts and zones whose last report is too old."""
         for peer in self._peers.peers.values():
-            if not peer.is_heard(now):
+            if not peer.is_alive(now):
                 self._meter.forget_peer(peer.host)
         for zone, at in list(self._updated_at.items()):
             if now - at >= PEER_TIMEOUT_SECONDS:
--- a/src/swifttrestle/internal/entry/handler.py
+++ b/src/swifttrestle/internal/entry/handler.py
@@ -29,7 +29,7 @@
 from swifttrestle.internal.policy.admission import DeadlineAdmission
 from swifttrestle.internal.policy.retry_budget import RetryBudget
 from swifttrestle.internal.policy.routing import URGENT, RequestEstimate
-from swifttrestle.internal.protocol.calls import EngineCall, PlainAnswer, call_plain
+from swifttrestle.internal.protocol.calls import EngineCall, PlainResponse, call_plain
 from swifttrestle.internal.protocol.prefixes import count_tokens, split_blocks
 from swifttrestle.internal.state.config import ConfigStore
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
@@ -323,7 +323,7 @@
         selection = UpstreamRequirements(service)
         work = RequestEstimate(1, 1, terms.priority)
 
-        def try_call(target: Target, number: int) -> PlainAnswer:
+        def try_call(target: Target, number: int) -> PlainResponse:
             remaining = max(0.05, terms.remaining(read_boottime_seconds()))
             headers = {"X-Request-Id": terms.caller_id or request_id}
             headers["X-Attempt"] = str(number)
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -23,7 +23,7 @@
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.protocol.calls import READ_BYTES, cancel_stream
 from swifttrestle.internal.protocol.tokens import TokenChecker
-from swifttrestle.internal.transport.pump import Pump, WaitFor
+from swifttrestle.internal.transport.stream_relay import StreamRelay, WaitFor
 
 RESUME_TIMEOUT_SECONDS = 20.0
 RESUME_INTERVAL_SECONDS = 0.2
@@ -34,7 +34,7 @@
 class RelayContext:
     """Components that all relays of one entry share."""
 
-    pump: Pump
+    pump: StreamRelay
     attempts: Attempts
     executor: ThreadPoolExecutor
     metrics: Metrics
--- a/src/swifttrestle/internal/entry/responses.py
+++ b/src/swifttrestle/internal/entry/responses.py
@@ -10,7 +10,7 @@
 from swifttrestle.codes import TABLE, Code
 from swifttrestle.errors import CallerGoneError, RefusedError
 from swifttrestle.internal.protocol.tokens import read_text
-from swifttrestle.internal.transport.pump import WaitFor
+from swifttrestle.internal.transport.stream_relay import WaitFor
 
 ERROR_WRITE_TIMEOUT_SECONDS = 5.0
 STREAM_RESPONSE_HEAD = (
--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -121,7 +121,7 @@
             head, body = await read_head(ctx, connection, plan)
         except (UpstreamBusyError, UpstreamLeavingError):
             # The connection can be reused: the refusal was read to its end.
-            await connection.finish(patience=0.0)
+            await connection.finish(timeout_seconds=0.0)
             raise
         if head.status >= FIRST_ERROR_STATUS and plan.retry_failure:
             raise FailedByUpstreamError(f"the upstream answered {head.status}", sent=True)
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -119,7 +119,9 @@
             if outcome is Outcome.DONE:
                 self._state.note_prompt(booking.reader, booking.parts, read=True)
                 if not booking.direct:
-                    booking.reader.update_read_rate(booking.ahead, seconds - booking.fetch_seconds)
+                    booking.reader.update_read_rate(
+                        booking.tokens_ahead, seconds - booking.fetch_seconds
+                    )
             else:
                 booking.reader.cache.forget(booking.unread)
             self._release(booking.reader, OpenWork(booking.tokens, 0 if booking.direct else 1))
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -20,8 +20,8 @@
 # Share by which a rate limit must change to be announced to other hosts.
 MIN_ANNOUNCED_CHANGE_SHARE = 0.1
 # Cool-down where the requested one is malformed, and maximum cool-down.
-UNKNOWN_REST_SECONDS = 1.0
-LONGEST_REST_SECONDS = 3600.0
+DEFAULT_COOL_DOWN_SECONDS = 1.0
+MAX_COOL_DOWN_SECONDS = 3600.0
 # Seconds after which the condition of an unlisted instance is dropped, and between checks.
 RETENTION_SECONDS = 600.0
 EXPIRY_INTERVAL_SECONDS = 30.0
@@ -90,8 +90,8 @@
         self._record_rate_limit(start, backpressure, head, sent_at)
         if backpressure.leaving and self.apply_leaving(start, OWN_SOURCE):
             self.announce_leaving(start)
-        if backpressure.rest != 0.0:
-            self._record_rest(start, backpressure.rest)
+        if backpressure.cool_down != 0.0:
+            self._record_rest(start, backpressure.cool_down)
         elif start in self._conditions and self._conditions[start].note_taken(sent_at):
             self.on_room()
 
@@ -151,11 +151,11 @@
                 "limit_heard_before": round(now - condition.rate_limit.at, 1)
                 if condition.rate_limit.at > NEVER
                 else None,
-                "rests_for": round(max(0.0, condition.rest_until - now), 2),
+                "rests_for": round(max(0.0, condition.cool_down_until - now), 2),
                 "held_for": round(condition.find_wait_seconds(now, urgent=False), 2),
             }
             for start, condition in self._conditions.items()
-            if condition.name != "open" or condition.rest_until > now
+            if condition.name != "open" or condition.cool_down_until > now
         }
 
     async def run(self) -> None:
@@ -192,13 +192,15 @@
     def _record_rest(self, start: str, seconds: float | None) -> None:
         now = _now()
         condition = self._conditions[start]
-        if condition.rest_until <= now:
+        if condition.cool_down_until <= now:
             log_event("upstream asks for rest", instance=start, seconds=seconds)
         self._metrics.count("upstream_rests_total")
-        rest = UNKNOWN_REST_SECONDS if seconds is None else min(seconds, LONGEST_REST_SECONDS)
+        cool_down = (
+            DEFAULT_COOL_DOWN_SECONDS if seconds is None else min(seconds, MAX_COOL_DOWN_SECONDS)
+        )
         # Requests that it would refuse until then would use up the retry budget.
-        condition.rest(now + rest)
-        asyncio.get_running_loop().call_at(condition.rest_until, self.on_room)
+        condition.start_cool_down(now + cool_down)
+        asyncio.get_running_loop().call_at(condition.cool_down_until, self.on_room)
 
 
 def _differ_significantly(rate: float | None, other: float | None) -> bool:
--- a/src/swifttrestle/internal/forward/crashes.py
+++ b/src/swifttrestle/internal/forward/crash_detection.py
@@ -24,7 +24,7 @@
 OPEN_PORT_PENDING_SECONDS = 3.0
 # Seconds between the loss of a connection and the probe of the upstream's address: a process that
 # ends closes its connections before its port.
-LOOK_DELAY_SECONDS = 0.005
+PROBE_DELAY_SECONDS = 0.005
 # Seconds for which a repeat waits for probes.
 PROBE_TIMEOUT_SECONDS = 0.05
 # Pending failures of one upstream.
@@ -114,7 +114,7 @@
         task.add_done_callback(lambda _: self._probes.pop(instance.name, None))
 
     async def _probe(self, instance: Instance) -> None:
-        await asyncio.sleep(LOOK_DELAY_SECONDS)
+        await asyncio.sleep(PROBE_DELAY_SECONDS)
         started_at = _now()
         try:
             await self._pool.probe(instance.name, instance.record.address)
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -8,7 +8,7 @@
 from swifttrestle.internal.callbacks import do_nothing
 from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.forward.context import Context
-from swifttrestle.internal.forward.crashes import CrashDetector
+from swifttrestle.internal.forward.crash_detection import CrashDetector
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.policy.quarantine import Quarantine, is_quarantined
 from swifttrestle.internal.state.crash_records import Crash, CrashRecord
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -195,7 +195,7 @@
             reader,
             decoder,
             grant.tokens,
-            grant.ahead,
+            grant.tokens_ahead,
             grant.wait,
             reference,
             source=self._state.fleet.instances.get(grant.source),
@@ -208,7 +208,7 @@
             self._local.end(booking, stage, outcome, seconds)
             return
         if stage is Stage.READ and outcome is Outcome.DONE and not booking.direct:
-            booking.reader.update_read_rate(booking.ahead, seconds - booking.fetch_seconds)
+            booking.reader.update_read_rate(booking.tokens_ahead, seconds - booking.fetch_seconds)
         self._send(booking.reference.ip, End(booking.reference.number, stage, outcome, seconds))
 
     def list_schedulers(self) -> set[str]:
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -101,7 +101,7 @@
             reference.number,
             reader,
             decoder,
-            booking.ahead,
+            booking.tokens_ahead,
             booking.wait,
             booking.tokens,
             booking.source.name if booking.source else "",
--- a/src/swifttrestle/internal/protocol/bookings.py
+++ b/src/swifttrestle/internal/protocol/bookings.py
@@ -40,7 +40,8 @@
 class Grant:
     """Names the booked engines.
 
-    `ahead` are the tokens queued at the prefill engine (`reader`), the request's own included, and
+    `tokens_ahead` are the tokens queued at the prefill engine (`reader`), the request's own
+    included, and
     `wait` is its predicted wait in seconds. `tokens` are the request's prompt tokens that it has
     neither cached nor fetches. `source` is the engine from which it fetches, "" for none, in
     `fetch_seconds`.
@@ -49,7 +50,7 @@
     number: int
     reader: str
     decoder: str
-    ahead: int
+    tokens_ahead: int
     wait: float
     tokens: int = 0
     source: str = ""
@@ -118,11 +119,19 @@
         case [MessageKind.WAIT, str(host), int(number)]:
             return host, Wait(number)
         case [
-            MessageKind.GRANT, str(host), int(number), str(reader), str(decoder), int(ahead), wait,
+            MessageKind.GRANT, str(host), int(number), str(reader), str(decoder),
+            int(tokens_ahead), wait,
             int(tokens), str(source), fetch_seconds,
         ]:  # fmt: skip
             return host, Grant(
-                number, reader, decoder, ahead, float(wait), tokens, source, float(fetch_seconds)
+                number,
+                reader,
+                decoder,
+                tokens_ahead,
+                float(wait),
+                tokens,
+                source,
+                float(fetch_seconds),
             )
         case [MessageKind.REFUSE, str(host), int(number), int(waiting), next_free_seconds]:
             return host, Refuse(number, waiting, float(next_free_seconds))
--- a/src/swifttrestle/internal/protocol/calls.py
+++ b/src/swifttrestle/internal/protocol/calls.py
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True)
-class PlainAnswer:
+class PlainResponse:
     """The complete response of a plain service."""
 
     status: int
@@ -150,7 +150,7 @@
     *,
     connect_seconds: float,
     seconds: float,
-) -> PlainAnswer:
+) -> PlainResponse:
     """Make one call and return the complete response; raise UpstreamError."""
     connection = _connect(HTTPConnection, address, connect_seconds)
     try:
@@ -168,7 +168,7 @@
             raise UpstreamBrokenError(
                 f"{address}: response body of {MAX_RESPONSE_BYTES} bytes or more", sent=True
             )
-        return PlainAnswer(response.status, response.headers.get("Content-Type", ""), data)
+        return PlainResponse(response.status, response.headers.get("Content-Type", ""), data)
     except (HTTPError, OSError, ValueError) as error:
         raise UpstreamBrokenError(f"{address}: {type(error).__name__}", sent=True) from None
     finally:
--- a/src/swifttrestle/internal/protocol/copies.py
+++ b/src/swifttrestle/internal/protocol/copies.py
@@ -12,7 +12,7 @@
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
 # Largest accepted version in bytes, uncompressed.
-LARGEST_CONFIGURATION = 4 * 1024 * 1024
+MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
 # zlib's fastest level.
 COMPRESSION_LEVEL = 1
 
@@ -40,9 +40,9 @@
     try:
         revision, content = msgpack.unpackb(data)
         unpacking = zlib.decompressobj()
-        plain = unpacking.decompress(content, LARGEST_CONFIGURATION)
+        plain = unpacking.decompress(content, MAX_CONFIGURATION_BYTES)
         if not unpacking.eof:
-            raise FrameError(f"configuration truncated or over {LARGEST_CONFIGURATION} bytes")
+            raise FrameError(f"configuration truncated or over {MAX_CONFIGURATION_BYTES} bytes")
         return ConfigurationCopy(unpack_revision(revision), orjson.loads(plain))
     except (ValueError, TypeError, zlib.error, msgpack.UnpackException) as error:
         raise FrameError(f"configuration copy malformed: {error!r}") from None
--- a/src/swifttrestle/internal/protocol/engine.py
+++ b/src/swifttrestle/internal/protocol/engine.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Holding:
+class EngineAssignment:
     """The model, adapters and role that an engine has or is to have; adapters as name@version."""
 
     model: str = ""
@@ -33,9 +33,9 @@
         return {**vars(self), "adapters": list(self.adapters)}
 
 
-def read_holding(value: dict[str, Any]) -> Holding:
+def read_holding(value: dict[str, Any]) -> EngineAssignment:
     """Parse a holding."""
-    return Holding(
+    return EngineAssignment(
         str(value["model"]),
         str(value["version"]),
         tuple(str(item) for item in value.get("adapters", ())),
@@ -48,7 +48,7 @@
     """The state that an engine reports; `boot` identifies its incarnation."""
 
     boot: str
-    holding: Holding
+    holding: EngineAssignment
     changing: bool
     last_order: str
     active: int
@@ -82,7 +82,7 @@
         """Return the latest load report; raise UpstreamBrokenError."""
 
     @abstractmethod
-    def send_order(self, order_id: str, fence: int, wanted: Holding | None) -> None:
+    def send_order(self, order_id: str, fence: int, wanted: EngineAssignment | None) -> None:
         """Order a holding; with None, only raise the fencing token.
 
         Raises StaleTokenError, or UpstreamBrokenError, after which the order may have taken effect.
@@ -105,7 +105,7 @@
         """Return the latest load report; raise UpstreamBrokenError."""
         return read_load_report(self._call("GET", "/load"))
 
-    def send_order(self, order_id: str, fence: int, wanted: Holding | None) -> None:
+    def send_order(self, order_id: str, fence: int, wanted: EngineAssignment | None) -> None:
         """Order a holding; with None, only raise the fencing token."""
         order: dict[str, Any] = {"order_id": order_id, "token": fence, "action": "raise"}
         if wanted is not None:
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -87,7 +87,8 @@
     """The engines of one request: `reader` prefills its prompt, `decoder` decodes.
 
     Both are the same engine if the decode engine also prefills. `tokens` are the prompt tokens
-    that the prefill engine has neither cached nor fetches. `ahead` are the tokens queued there,
+    that the prefill engine has neither cached nor fetches. `tokens_ahead` are the tokens queued
+    there,
     these included, and `wait` is its predicted wait in seconds, both at the time of booking.
     `reference` is set if another host keeps the booking. `parts` are the parts of the prompt,
     `unread` those that the prefill engine has not cached. `source` is the engine from which it
@@ -97,7 +98,7 @@
     reader: Instance
     decoder: Instance
     tokens: int
-    ahead: int = 0
+    tokens_ahead: int = 0
     wait: float = 0.0
     reference: BookingReference | None = None
     parts: tuple[PromptPart, ...] = ()
--- a/src/swifttrestle/internal/state/declared.py
+++ b/src/swifttrestle/internal/state/declared.py
@@ -27,7 +27,7 @@
     kv_tokens: int
     kv_bytes_per_token: float
     link_bytes_per_second: float
-    handle_seconds: float
+    handle_ttl_seconds: float
     role_change_seconds: float
 
 
--- a/src/swifttrestle/internal/state/peers.py
+++ b/src/swifttrestle/internal/state/peers.py
@@ -45,13 +45,13 @@
     store_since: float = UNKNOWN
     store_reported_at: float = NEVER
 
-    def is_heard(self, now: float) -> bool:
+    def is_alive(self, now: float) -> bool:
         """Return whether this host has received a recent heartbeat from it."""
         return now - self.heard_at < PEER_TIMEOUT_SECONDS
 
     def is_seen(self, now: float) -> bool:
         """Return whether it was recently heard by this host or reported by another one."""
-        return self.is_heard(now) or now - self.reported_at < REPORTED_PEER_TIMEOUT_SECONDS
+        return self.is_alive(now) or now - self.reported_at < REPORTED_PEER_TIMEOUT_SECONDS
 
     def is_live(self, now: float) -> bool:
         """Return whether it is a member: recently seen and not stopping."""
@@ -103,12 +103,12 @@
         if host and ip and host != self._local_member.host and host not in self.peers:
             self.peers[host] = Peer(host, ip)
 
-    def note_heard(self, heartbeat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a peer's heartbeat; return whether it has become a member by it."""
         member = heartbeat.member
         self.peers.pop(f"seed {member.ip}", None)
         peer = self.peers.setdefault(member.host, Peer(member.host, member.ip))
-        if heartbeat.incarnation < peer.incarnation and peer.is_heard(now):
+        if heartbeat.incarnation < peer.incarnation and peer.is_alive(now):
             # A late datagram of an earlier incarnation. A peer that has been silent may return
             # with a lower number, which comes from its wall clock and may jump back.
             return False
@@ -137,7 +137,7 @@
             if peer is None:
                 self.peers.pop(f"seed {member.ip}", None)
                 peer = self.peers[member.host] = Peer(member.host, member.ip)
-            if not peer.is_heard(now):
+            if not peer.is_alive(now):
                 peer.ip, peer.zone, peer.link_mbps = member.ip, member.zone, member.link_mbps
             if not peer.is_seen(now):
                 self._cached_until = NEVER
@@ -183,7 +183,7 @@
         return [
             Member(peer.host, peer.ip, peer.zone, peer.link_mbps)
             for peer in self.peers.values()
-            if peer.is_heard(now) and peer.is_live(now)
+            if peer.is_alive(now) and peer.is_live(now)
         ]
 
     def list_seen(self, now: float) -> list[Peer]:
--- a/src/swifttrestle/internal/state/store_epochs.py
+++ b/src/swifttrestle/internal/state/store_epochs.py
@@ -42,7 +42,7 @@
         # The number of restores since this process first received an epoch.
         self.returns = 0
         # Called after each restore.
-        self.on_return: Callable[[], None] = do_nothing
+        self.on_restore: Callable[[], None] = do_nothing
         self._has_epoch = False
         self._lower_since: float | None = None
         self._logged_text = ""
@@ -87,4 +87,4 @@
         self.current, self.since = named, now
         self._lower_since = None
         if restored:
-            self.on_return()
+            self.on_restore()
--- a/src/swifttrestle/internal/state/upstream_conditions.py
+++ b/src/swifttrestle/internal/state/upstream_conditions.py
@@ -22,14 +22,15 @@
 class UpstreamCondition:
     """What one incarnation of an upstream accepts; times are the event loop's.
 
-    `rest_until` is the end of the cool-down that it asked this host for. Until `tried_until` one
+    `cool_down_until` is the end of the cool-down that it asked this host for. Until `tried_until`
+    one
     request probes it after that. `denied_until` is the time at which its rate limit may permit
     another request of this host, by urgency. `seen_at` is when it was last listed, 0 if never.
     """
 
     leaving: bool = False
     rate_limit: RateLimit = RateLimit()
-    rest_until: float = NEVER
+    cool_down_until: float = NEVER
     tried_until: float = NEVER
     # Whether it has accepted no request since it asked for a cool-down.
     awaiting_trial: bool = False
@@ -51,11 +52,11 @@
         A request with a permit is not delayed by the rate limit.
         """
         denied = NEVER if permitted else self.denied_until.get(urgent, NEVER)
-        return max(0.0, max(self.rest_until, self.tried_until, denied) - now)
+        return max(0.0, max(self.cool_down_until, self.tried_until, denied) - now)
 
-    def rest(self, until: float) -> None:
+    def start_cool_down(self, until: float) -> None:
         """Send it no requests until the time `until`."""
-        self.rest_until = max(until, self.rest_until)
+        self.cool_down_until = max(until, self.cool_down_until)
         self.tried_until = NEVER
         self.awaiting_trial = True
 
@@ -69,7 +70,7 @@
 
     def note_taken(self, sent_at: float) -> bool:
         """Record that it accepted a request sent at `sent_at`; return whether its trial ends."""
-        if not self.awaiting_trial or sent_at < self.rest_until:
+        if not self.awaiting_trial or sent_at < self.cool_down_until:
             return False
         self.awaiting_trial = False
         self.tried_until = NEVER
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -83,7 +83,7 @@
 
     async def mark_reusable(self, connection: UpstreamConnection, head: ResponseHead) -> None:
         """Mark a connection for reuse after its response has been read completely."""
-        if not await connection.finish(patience=0.0 if head.closes else 0.5):
+        if not await connection.finish(timeout_seconds=0.0 if head.closes else 0.5):
             connection.close()
             return
         seconds = (
--- a/src/swifttrestle/internal/transport/pump.py
+++ b/src/swifttrestle/internal/transport/stream_relay.py
@@ -48,7 +48,7 @@
     done: bool = False
 
 
-class Pump:
+class StreamRelay:
     """Relays streams until their tasks end, and then calls each stream's `finish`."""
 
     def __init__(self) -> None:
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -179,17 +179,18 @@
         assert self._body is not None
         return head, self._body
 
-    async def finish(self, patience: float) -> bool:
+    async def finish(self, timeout_seconds: float) -> bool:
         """Finish an exchange; return whether the connection may be reused.
 
         An upstream may respond before it has read the whole request. The rest is then sent for up
-        to `patience` seconds; after that the connection is not reused, because the upstream would
+        to `timeout_seconds` seconds; after that the connection is not reused, because the upstream
+        would
         take the next request for that rest.
         """
         if self._sender is not None:
             # `asyncio.wait_for` would swallow a cancellation that coincides with the sender's end.
             if not self._sender.done():
-                await asyncio.wait((self._sender,), timeout=patience)
+                await asyncio.wait((self._sender,), timeout=timeout_seconds)
             if not _has_ended(self._sender):
                 self._sender.cancel()
                 self.reusable = False
--- a/src/swifttrestle/platform/backpressure.py
+++ b/src/swifttrestle/platform/backpressure.py
@@ -33,7 +33,7 @@
     ]
     return Backpressure(
         leaving=any(parsed for name, _, parsed in values if name == LEAVING_HEADER),
-        rest=_find_max([parsed for name, _, parsed in values if name == RETRY_AFTER_HEADER]),
+        cool_down=_find_max([parsed for name, _, parsed in values if name == RETRY_AFTER_HEADER]),
         rate=min(
             (
                 parsed
--- a/src/swifttrestle/platform/records.py
+++ b/src/swifttrestle/platform/records.py
@@ -232,7 +232,7 @@
         kv_bytes_per_token=float(engine.get("tokenKvBytes") or 0),
         # `linkMbps` is in megabits per second.
         link_bytes_per_second=float(engine.get("linkMbps") or 0) * 125_000,
-        handle_seconds=float(engine.get("kvHoldS") or 0),
+        handle_ttl_seconds=float(engine.get("kvHoldS") or 0),
         role_change_seconds=float(engine.get("swapS") or 0),
     )
 
--- a/src/swifttrestle/platform/settings.py
+++ b/src/swifttrestle/platform/settings.py
@@ -22,7 +22,8 @@
 class Bounds:
     """Limits that the platform sets; all in seconds, except `retry_share` and `retry_extra`.
 
-    `revocation` is how long a removed key may still be accepted, infinite if there is no limit.
+    `revocation_seconds` is how long a removed key may still be accepted, infinite if there is no
+    limit.
     `usage_window_seconds` is the length of the windows in which workspaces' requests are counted,
     0 if usage is not counted.
     """
@@ -32,7 +33,7 @@
     retry_share: float
     retry_window_seconds: float
     retry_extra: float
-    revocation: float = float("inf")
+    revocation_seconds: float = float("inf")
     usage_window_seconds: float = 0.0
 
 
@@ -111,7 +112,7 @@
             retry_share=bounds.number("budgetRatio", 0, 100),
             retry_window_seconds=bounds.number("budgetWindowS", 0.1, MAX_DURATION_MS / 1000),
             retry_extra=bounds.number("budgetExtra", 0, 1e9),
-            revocation=_read_revocation(bounds),
+            revocation_seconds=_read_revocation(bounds),
             usage_window_seconds=bounds.optional_number("reportWindowS"),
         ),
         duties=_read_duties(table.optional_table("cloudApi")),
--- a/src/swifttrestle/platform/store.py
+++ b/src/swifttrestle/platform/store.py
@@ -39,9 +39,9 @@
 
 POOL_NAME = "store"
 # Timeout of writes, shorter than the shortest lease.
-CALL_SECONDS = 2.0
+WRITE_TIMEOUT_SECONDS = 2.0
 # Timeout of reads, which can be retried at any time: twice what a slow store takes.
-READ_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 1.0
 # Longest time between two bytes of a response, longer than a TCP retransmission. There is no limit
 # for the whole body, since a slow link could then never transfer a large object.
 BYTE_TIMEOUT_SECONDS = 2.0
@@ -81,7 +81,7 @@
         after = ""
         while True:
             query = f"?after={quote(after)}" if after else ""
-            raw = await self._call(b"GET", f"/v1/objects/{kind}{query}", None, READ_SECONDS)
+            raw = await self._call(b"GET", f"/v1/objects/{kind}{query}", None, READ_TIMEOUT_SECONDS)
             page = read_page(kind, raw, self.epochs.current)
             items += page.items
             malformed += page.malformed
@@ -109,7 +109,7 @@
     async def get(self, kind: str, name: str) -> StoredObject:
         """Return one object; raise NotFoundError."""
         path = f"/v1/objects/{kind}/{quote(name)}"
-        raw = await self._call(b"GET", path, None, READ_SECONDS)
+        raw = await self._call(b"GET", path, None, READ_TIMEOUT_SECONDS)
         return read_object(kind, raw, self.epochs.current)
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
@@ -140,7 +140,7 @@
         return stored
 
     async def _call(
-        self, method: bytes, path: str, body: Any, seconds: float = CALL_SECONDS
+        self, method: bytes, path: str, body: Any, seconds: float = WRITE_TIMEOUT_SECONDS
     ) -> Any:
         self.calls += 1
         request = self._build_request(method, path, body)
--- a/src/swifttrestle/resources.py
+++ b/src/swifttrestle/resources.py
@@ -334,7 +334,7 @@
     return ResourceSet(**groups)
 
 
-def find_faults(given: ResourceSet) -> list[FieldFault]:
+def find_reference_errors(given: ResourceSet) -> list[FieldFault]:
     """Return the faults between resources: references to undeclared names, conflicting fields."""
     faults: list[FieldFault] = []
     for model in given.models.values():
--- a/src/swifttrestle_standins/hosted/direct.py
+++ b/src/swifttrestle_standins/hosted/direct.py
@@ -7,7 +7,7 @@
 
 from swifttrestle.errors import PlatformUnavailableError
 from swifttrestle.internal.state.store_epochs import StoreEpochs
-from swifttrestle.platform.store import CALL_SECONDS, ObjectStore, check_status
+from swifttrestle.platform.store import WRITE_TIMEOUT_SECONDS, ObjectStore, check_status
 from swifttrestle_standins.hosted.store import StandInStore
 
 ANSWER_SECONDS = 0.004
@@ -37,7 +37,7 @@
         self._changed = asyncio.Event()
 
     async def _call(
-        self, method: bytes, path: str, body: Any, seconds: float = CALL_SECONDS
+        self, method: bytes, path: str, body: Any, seconds: float = WRITE_TIMEOUT_SECONDS
     ) -> Any:
         self.calls += 1
         deadline = asyncio.get_running_loop().time() + seconds
--- a/src/swifttrestle_standins/hosted/store.py
+++ b/src/swifttrestle_standins/hosted/store.py
@@ -126,7 +126,7 @@
         """Return a copy of the current contents, to restore later."""
         return StoreCopy(self.revision, dict(self.objects), tuple(self._events))
 
-    def come_back(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreCopy) -> None:
         """Restore the store from a copy, losing later writes; raises the epoch.
 
         Revisions continue from the copy's. Pending watches stay open and report no event until
--- a/src/swifttrestle_standins/orders.py
+++ b/src/swifttrestle_standins/orders.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class Holding:
+class EngineAssignment:
     """The loaded model, its adapters and the role: mixed, prefill or decode."""
 
     model: str = ""
@@ -36,7 +36,7 @@
         called with a reason before a change and returns the number of aborted streams.
         """
         self.lock = threading.Lock()
-        self.holding = Holding()
+        self.holding = EngineAssignment()
         self.log: list[dict[str, Any]] = []
         self.crash_on_order = ""
         self._checked = checked
@@ -87,7 +87,7 @@
     def _change(self, wanted: dict[str, Any], entry: dict[str, Any]) -> None:
         entry["effect"] = "applied"
         entry["cut"] = self._abort_streams("cut by order")
-        self.holding = Holding(
+        self.holding = EngineAssignment(
             str(wanted["model"]),
             str(wanted["version"]),
             [str(a) for a in wanted.get("adapters", [])],
--- a/tests/cover/test_backpressure.py
+++ b/tests/cover/test_backpressure.py
@@ -48,17 +48,19 @@
         (200, [(LEAVING, b"0")], Backpressure()),
         (200, [(LEAVING, b"0"), (LEAVING, b"1")], Backpressure(leaving=True)),
         (200, [(LEAVING, b"yes")], Backpressure(unreadable=("server-leaving: yes",))),
-        (503, [(REST, b"3")], Backpressure(rest=3.0)),
-        (429, [(REST, b"0.25")], Backpressure(rest=0.25)),
-        (503, [(REST, b"1"), (REST, b"3")], Backpressure(rest=3.0)),
+        (503, [(REST, b"3")], Backpressure(cool_down=3.0)),
+        (429, [(REST, b"0.25")], Backpressure(cool_down=0.25)),
+        (503, [(REST, b"1"), (REST, b"3")], Backpressure(cool_down=3.0)),
         (503, [(REST, b"0")], Backpressure()),
         (200, [(REST, b"3")], Backpressure()),
         (200, [(REST, b"soon")], Backpressure()),
-        (503, [(REST, b"-3")], Backpressure(rest=None, unreadable=("retry-after: -3",))),
+        (503, [(REST, b"-3")], Backpressure(cool_down=None, unreadable=("retry-after: -3",))),
         (
             503,
             [(REST, b"Thu, 03 Dec 2026 06:00:00 GMT")],
-            Backpressure(rest=None, unreadable=("retry-after: Thu, 03 Dec 2026 06:00:00 GMT",)),
+            Backpressure(
+                cool_down=None, unreadable=("retry-after: Thu, 03 Dec 2026 06:00:00 GMT",)
+            ),
         ),
     ],
 )
@@ -73,7 +75,7 @@
 def test_no_header_value_raises_an_error(status, headers):
     found = read_backpressure(status, headers)
     assert found.rate is None or 0 <= found.rate < float("inf")
-    assert found.rest is None or 0 <= found.rest < float("inf")
+    assert found.cool_down is None or 0 <= found.cool_down < float("inf")
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_conditions.py
+++ b/tests/cover/test_conditions.py
@@ -6,7 +6,10 @@
 import pytest
 
 from swifttrestle.errors import UpstreamHeldError
-from swifttrestle.internal.forward.conditions import LONGEST_REST_SECONDS, UNKNOWN_REST_SECONDS
+from swifttrestle.internal.forward.conditions import (
+    DEFAULT_COOL_DOWN_SECONDS,
+    MAX_COOL_DOWN_SECONDS,
+)
 from swifttrestle.internal.forward.gateway_state import GatewayState, RetryBudgets
 from swifttrestle.internal.metrics import Metrics
 from swifttrestle.internal.state.declared import UpstreamRecord
@@ -87,7 +90,12 @@
 
 @pytest.mark.parametrize(
     ("retry_after", "seconds"),
-    [(b"3", 3.0), (b"0.5", 0.5), (b"soon", UNKNOWN_REST_SECONDS), (b"1e9", LONGEST_REST_SECONDS)],
+    [
+        (b"3", 3.0),
+        (b"0.5", 0.5),
+        (b"soon", DEFAULT_COOL_DOWN_SECONDS),
+        (b"1e9", MAX_COOL_DOWN_SECONDS),
+    ],
 )
 def test_an_upstream_gets_no_requests_for_the_cool_down_that_it_asks_for(retry_after, seconds):
     async def check():
--- a/tests/cover/test_copies.py
+++ b/tests/cover/test_copies.py
@@ -48,7 +48,7 @@
 
 
 def test_a_version_that_unpacks_to_more_than_the_limit_is_refused(monkeypatch):
-    monkeypatch.setattr(copies, "LARGEST_CONFIGURATION", 1000)
+    monkeypatch.setattr(copies, "MAX_CONFIGURATION_BYTES", 1000)
     with pytest.raises(FrameError):
         unpack_copy(pack_copy(ConfigurationCopy(StoreRevision(0, 1), "x" * 2000)))
 
--- a/tests/cover/test_examples.py
+++ b/tests/cover/test_examples.py
@@ -6,7 +6,7 @@
 
 from swifttrestle.errors import InvalidResourceError
 from swifttrestle.internal.resource_files import read_documents
-from swifttrestle.resources import find_faults, group_resources, parse_resource
+from swifttrestle.resources import find_reference_errors, group_resources, parse_resource
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 
@@ -16,7 +16,7 @@
     documents = read_documents((str(EXAMPLES / name),))
     resources = [parse_resource(d.kind, d.name, d.spec).unwrap() for d in documents]
     found = group_resources(resources)
-    assert find_faults(found) == []
+    assert find_reference_errors(found) == []
     kinds = [upstream.type for upstream in found.upstreams.values()]
     assert (kinds.count("engine"), kinds.count("plain")) == (6, 3)
     assert len({upstream.zone for upstream in found.upstreams.values()}) == 3
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -361,12 +361,12 @@
     async def act():
         store = FakeStore()
         first, second = make_lease_manager(store, "a"), make_lease_manager(store, "b")
-        assert await first.campaign()
-        assert not await second.campaign()
+        assert await first.try_acquire()
+        assert not await second.try_acquire()
         order, _ = await first.record("e1", "prefill")
         assert (order.number, first.lease.token) == (1, 1)
-        assert not await second.campaign()
-        while not await second.campaign():
+        assert not await second.try_acquire()
+        while not await second.try_acquire():
             await asyncio.sleep(0.01)
         assert second.lease.token == 2
         assert (await second.record("e1", "decode"))[0].number == 2
@@ -381,13 +381,13 @@
     async def act():
         store = FakeStore()
         first, second = make_lease_manager(store, "a"), make_lease_manager(store, "b")
-        assert await first.campaign()
+        assert await first.try_acquire()
         for _ in range(4):
-            assert not await second.campaign()
+            assert not await second.try_acquire()
             await asyncio.sleep(DURATION / 2)
             await first.record("e", "prefill")
             second._next_read_at = 0.0
-        assert not await second.campaign()
+        assert not await second.try_acquire()
 
     asyncio.run(act())
 
@@ -397,7 +397,7 @@
     async def act():
         store = FakeStore()
         manager = make_lease_manager(store, "a")
-        assert await manager.campaign()
+        assert await manager.try_acquire()
         store.lose = lost
         if held:
             order, _ = await manager.record("e1", "prefill")
@@ -412,7 +412,7 @@
 def test_an_order_may_be_sent_only_shortly_after_it_was_recorded():
     async def act():
         manager = make_lease_manager(FakeStore(), "a")
-        await manager.campaign()
+        await manager.try_acquire()
         now = asyncio.get_running_loop().time()
         _, until = await manager.record("e1", "prefill")
         assert 0 < until - now <= 0.6
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from swifttrestle.errors import FrameError
-from swifttrestle.internal.coordination.candidates import RoleCandidates
+from swifttrestle.internal.coordination.candidates import DutyCandidates
 from swifttrestle.internal.coordination.role_orders import RoleOrders
 from swifttrestle.internal.coordination.rosters import Rosters
 from swifttrestle.internal.coordination.store_availability import StoreAvailability
@@ -47,7 +47,7 @@
 )
 def test_a_peer_is_live_for_two_seconds_after_its_last_heartbeat(seconds, expected):
     table = PeerTable(ME)
-    assert table.note_heard(make_heartbeat(OTHER), 10.0)
+    assert table.record_heartbeat(make_heartbeat(OTHER), 10.0)
     assert names(table, 10.0 + seconds) == expected
 
 
@@ -70,9 +70,9 @@
 
 def test_a_stopping_peer_is_not_a_member_although_others_still_report_it():
     table = PeerTable(ME)
-    table.note_heard(make_heartbeat(FAR), 10.0)
+    table.record_heartbeat(make_heartbeat(FAR), 10.0)
     assert names(table, 10.0) == ["far", "me"]
-    table.note_heard(make_heartbeat(FAR, leaving=True), 10.1)
+    table.record_heartbeat(make_heartbeat(FAR, leaving=True), 10.1)
     table.note_reported((FAR,), at=10.4, now=10.5)
     assert names(table, 10.5) == ["me"]
     assert [peer.host for peer in table.list_seen(10.5)] == ["far"]
@@ -80,26 +80,26 @@
 
 def test_a_peer_that_stopped_is_live_again_by_its_own_heartbeat_at_once_and_by_reports_later():
     table = PeerTable(ME)
-    table.note_heard(make_heartbeat(FAR, 1, leaving=True), 10.0)
+    table.record_heartbeat(make_heartbeat(FAR, 1, leaving=True), 10.0)
     table.note_reported((FAR,), at=14.1, now=14.1)
     assert names(table, 14.1) == ["far", "me"]
-    table.note_heard(make_heartbeat(FAR, 1, leaving=True), 15.0)
-    table.note_heard(make_heartbeat(FAR, 2), 15.2)
+    table.record_heartbeat(make_heartbeat(FAR, 1, leaving=True), 15.0)
+    table.record_heartbeat(make_heartbeat(FAR, 2), 15.2)
     assert names(table, 15.2) == ["far", "me"]
 
 
 def test_a_late_datagram_of_an_earlier_incarnation_is_ignored():
     table = PeerTable(ME)
-    table.note_heard(make_heartbeat(OTHER, 7), 10.0)
-    table.note_heard(make_heartbeat(OTHER, 6, leaving=True), 10.1)
+    table.record_heartbeat(make_heartbeat(OTHER, 7), 10.0)
+    table.record_heartbeat(make_heartbeat(OTHER, 6, leaving=True), 10.1)
     assert names(table, 10.2) == ["me", "other"]
 
 
 def test_a_silent_peer_may_come_back_with_a_lower_incarnation():
     # The incarnation is taken from the time of day, which can jump back.
     table = PeerTable(ME)
-    table.note_heard(make_heartbeat(OTHER, 7), 10.0)
-    table.note_heard(make_heartbeat(OTHER, 6), 13.0)
+    table.record_heartbeat(make_heartbeat(OTHER, 7), 10.0)
+    table.record_heartbeat(make_heartbeat(OTHER, 6), 13.0)
     assert names(table, 13.0) == ["me", "other"]
 
 
@@ -109,17 +109,17 @@
     table.add_seed(ME.ip)
     table.add_seed(OTHER.ip)
     assert list(table.peers) == [f"seed {OTHER.ip}"]
-    table.note_heard(make_heartbeat(OTHER), 1.0)
+    table.record_heartbeat(make_heartbeat(OTHER), 1.0)
     assert list(table.peers) == ["other"]
 
 
 def test_the_version_rises_only_with_changes_of_the_members():
     table = PeerTable(ME)
     table.list_members(0.0)
-    table.note_heard(make_heartbeat(OTHER), 10.0)
+    table.record_heartbeat(make_heartbeat(OTHER), 10.0)
     table.list_members(10.0)
     first = table.version
-    table.note_heard(make_heartbeat(OTHER), 10.5)
+    table.record_heartbeat(make_heartbeat(OTHER), 10.5)
     table.list_members(10.7)
     assert table.version == first
     table.list_members(13.0)
@@ -210,7 +210,7 @@
 def make_rosters(network, member, clock, heard=()):
     table = PeerTable(member)
     for peer in heard:
-        table.note_heard(make_heartbeat(peer), clock[0])
+        table.record_heartbeat(make_heartbeat(peer), clock[0])
     rosters = Rosters(member, network.socket(member.ip), table, lambda *_: None, lambda: clock[0])
     return table, rosters
 
@@ -286,7 +286,7 @@
     far.send(summarise(far, FAR), [ME])
     clock[0] = 12.2
     for item in hosts[1:]:
-        far_table.note_heard(make_heartbeat(item), 12.2)
+        far_table.record_heartbeat(make_heartbeat(item), 12.2)
     far.send(summarise(far, FAR), [ME])
     assert names(table, 12.2) == ["far", "h001", "h002", "me"]
 
@@ -300,9 +300,9 @@
     table, _ = make_rosters(network, ME, clock)
     for _ in range(5):
         clock[0] += 0.5
-        far_table.note_heard(make_heartbeat(hosts[0]), clock[0])
+        far_table.record_heartbeat(make_heartbeat(hosts[0]), clock[0])
         for item in hosts:
-            second_table.note_heard(make_heartbeat(item), clock[0])
+            second_table.record_heartbeat(make_heartbeat(item), clock[0])
         far.send(summarise(far, FAR), [ME])
         second.send(summarise(second, second_member), [ME])
         assert names(table, clock[0]) == ["far", "far2", "h000", "h001", "me"]
@@ -326,7 +326,7 @@
     far.send(summarise(far, FAR), [OTHER])
     clock[0] = 12.1
     for item in hosts[1:]:
-        far_table.note_heard(make_heartbeat(item), 12.1)
+        far_table.record_heartbeat(make_heartbeat(item), 12.1)
     # The first host has been silent for too long.
     far.send(summarise(far, FAR), [OTHER])
     (mark,) = other.list_others(other.refresh_own())
@@ -418,7 +418,7 @@
 def test_the_sum_of_a_zone_replaces_the_demand_of_its_hosts():
     table, meter = PeerTable(ME), DemandMeter()
     zones = ZoneDemand(ME, table, meter)
-    table.note_heard(make_heartbeat(FAR), 10.0)
+    table.record_heartbeat(make_heartbeat(FAR), 10.0)
     zones.update_host("far", {"s": (100.0, 1.0, 0.0)})
     zones.update_zone("b", {"s": (300.0, 3.0, 1.0)}, 10.0)
     assert meter.total("s", 10.0) == Demand(300.0, 3.0, 1.0)
@@ -466,8 +466,8 @@
     table = PeerTable(me)
     for item in HOSTS:
         if item is not me:
-            table.note_heard(make_heartbeat(item), clock[0])
-    return table, RoleCandidates(me, table, lambda: clock[0])
+            table.record_heartbeat(make_heartbeat(item), clock[0])
+    return table, DutyCandidates(me, table, lambda: clock[0])
 
 
 def list_candidates(clock):
@@ -496,7 +496,7 @@
     first = list_candidates(clock)[0]
     table, candidates = make_candidates(first, clock)
     holder = next(item for item in HOSTS if item.host != first)
-    table.note_heard(make_heartbeat(holder, holds_duty_lease=True), 10.0)
+    table.record_heartbeat(make_heartbeat(holder, holds_duty_lease=True), 10.0)
     assert not candidates.is_candidate()
     assert candidates.is_next_candidate()
     for item in HOSTS:
@@ -536,7 +536,7 @@
 def test_a_peer_reports_the_store_available_by_its_own_last_report(heartbeats, asked_at, expected):
     table = PeerTable(ME)
     for at, seconds in heartbeats:
-        table.note_heard(make_heartbeat(OTHER, store_seconds=seconds), at)
+        table.record_heartbeat(make_heartbeat(OTHER, store_seconds=seconds), at)
     assert table.find_store_up_since(asked_at) == expected
 
 
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -28,7 +28,7 @@
 # Seconds within which all hosts must know of a crash.
 BOUND_SECONDS = 3.0
 # Datagrams of one crash with 48 open requests in a large fleet, at most: two owners of each record.
-DATAGRAMS_PER_CRASH = 2 * 48 * (1 + quarantine_relay.TOLD_AGAIN)
+DATAGRAMS_PER_CRASH = 2 * 48 * (1 + quarantine_relay.CRASH_REPEATS)
 
 
 class Network:
@@ -219,7 +219,7 @@
             for number in range(2):
                 hosts[0].observe_crash([make_name()], f"i-{number}")
             await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
-            await asyncio.sleep((quarantine_relay.TOLD_AGAIN + 1) * PUSH_SECONDS)
+            await asyncio.sleep((quarantine_relay.CRASH_REPEATS + 1) * PUSH_SECONDS)
             network.lost_share = 0.5
             hosts[-1].guard.clear_crashes(make_name())
             await asyncio.sleep(0.1)
@@ -258,7 +258,7 @@
             await asyncio.sleep(10 * PUSH_SECONDS)
             sync_messages = network.sent
             hosts[0].observe_crash([make_name()], "i-0")
-            await asyncio.sleep((quarantine_relay.TOLD_AGAIN + 1) * PUSH_SECONDS)
+            await asyncio.sleep((quarantine_relay.CRASH_REPEATS + 1) * PUSH_SECONDS)
             sent_before = network.sent
             await asyncio.sleep(20.0)
             return sync_messages, network.sent - sent_before
--- a/tests/cover/test_returned_lease.py
+++ b/tests/cover/test_returned_lease.py
@@ -48,7 +48,7 @@
         if outage:
             self._set_store_state(self.rng.choice(("silent", "busy")))
             await asyncio.sleep(outage)
-        self.stand_in.come_back(self.rng.choice(self.copies))
+        self.stand_in.restore(self.rng.choice(self.copies))
         self._set_store_state("up")
 
     def _set_store_state(self, state):
@@ -95,7 +95,7 @@
         while True:
             await asyncio.sleep(TICK_SECONDS * self.clock_rate)
             try:
-                if await self.manager.campaign() and rng.random() < 0.4:
+                if await self.manager.try_acquire() and rng.random() < 0.4:
                     _, until = await self.manager.record("e1", rng.choice(("prefill", "decode")))
                     await asyncio.sleep(rng.choice((0.0, 0.2, 0.45)))
                     lease = self.manager.lease
--- a/tests/cover/test_returned_list.py
+++ b/tests/cover/test_returned_list.py
@@ -39,7 +39,7 @@
     if outage_seconds:
         host.store.set_way(way)
         await asyncio.sleep(outage_seconds)
-    host.store.stand_in.come_back(copy)
+    host.store.stand_in.restore(copy)
     host.store.set_way("up")
 
 
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -303,4 +303,4 @@
 )
 def test_the_bound_of_a_removed_key_is_a_setting(bounds, wanted):
     read = read_host_settings({**GOOD, "bounds": {**GOOD["bounds"], **bounds}})
-    assert read.bounds.revocation == wanted
+    assert read.bounds.revocation_seconds == wanted
--- a/tests/cover/test_store_epochs.py
+++ b/tests/cover/test_store_epochs.py
@@ -10,7 +10,7 @@
     StoreEpochs,
     StoreRevision,
 )
-from swifttrestle.platform.store import CALL_SECONDS, _read_epoch
+from swifttrestle.platform.store import WRITE_TIMEOUT_SECONDS, _read_epoch
 from swifttrestle_standins.hosted.direct import DirectStore
 from swifttrestle_standins.hosted.store import PAGE_ITEMS
 from swifttrestle_standins.virtual_time import run_in_virtual_time
@@ -82,10 +82,10 @@
 class ReturningStore(DirectStore):
     """A store that is restored from a copy after the first page of each list."""
 
-    async def _call(self, method, path, body, seconds=CALL_SECONDS):
+    async def _call(self, method, path, body, seconds=WRITE_TIMEOUT_SECONDS):
         page = await super()._call(method, path, body, seconds)
         if page["hasMore"]:
-            self.stand_in.come_back(self.stand_in.take_copy())
+            self.stand_in.restore(self.stand_in.take_copy())
         return page
 
 
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -12,9 +12,9 @@
 import pytest
 
 from swifttrestle.internal import clock
+from swifttrestle.internal.boottime_loop import run_in_loop
 from swifttrestle.internal.clock import MonotonicClock, read_boottime_seconds
 from swifttrestle.internal.coordination.duty_lease import SEND_SECONDS, DutyLeaseManager
-from swifttrestle.internal.loop import run_in_loop
 from swifttrestle.internal.state.store_epochs import StoreEpochs, StoreRevision
 from swifttrestle.platform.objects import StoredObject
 from tests.common.fakes import skip_silently
@@ -71,7 +71,7 @@
 
     async def work():
         manager = DutyLeaseManager(StoreSuspendedInWrite(), "roles", "h1", 1, 1.0, skip_silently())
-        assert await manager.campaign()
+        assert await manager.try_acquire()
         _, until = await manager.record("e1", "decode")
         return asyncio.get_running_loop().time() - until
 
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -14,7 +14,7 @@
     quarantine_relay,
     removals,
 )
-from swifttrestle.internal.forward import crashes
+from swifttrestle.internal.forward import crash_detection
 from swifttrestle.internal.policy import revocation
 from swifttrestle.internal.policy.backoff import find_max_backoff
 from swifttrestle.internal.state import peers
@@ -48,10 +48,10 @@
 LIST_SECONDS = pool.CONNECT_SECONDS + SLOW_STORE_SECONDS
 HEARTBEAT_SECONDS = gossip.HEARTBEAT_SECONDS * 1.1
 # A host notices a recovered store by: its last failed call, its backoff and its next call.
-NOTICE_SECONDS = store.READ_SECONDS + MAX_BACKOFF_SECONDS + LIST_SECONDS
+NOTICE_SECONDS = store.READ_TIMEOUT_SECONDS + MAX_BACKOFF_SECONDS + LIST_SECONDS
 REMOVAL_HOLD_SECONDS = removals.REREGISTRATION_SECONDS + removals.POLL_SECONDS
 # A host that lost a connection finds that the upstream's address refuses connections.
-CRASH_DETECTION_SECONDS = crashes.LOOK_DELAY_SECONDS + DATAGRAM_SECONDS
+CRASH_DETECTION_SECONDS = crash_detection.PROBE_DELAY_SECONDS + DATAGRAM_SECONDS
 PUSH_SECONDS = quarantine_relay.PUSH_SECONDS
 # The bound until a revoked key is refused, and the longest intervals between confirmations.
 KEYS_BOUND_SECONDS = 5.0
@@ -191,7 +191,9 @@
         QUARANTINE_SECONDS,
     ),
     "kept back: all words of a crash but the last are lost": (
-        CRASH_DETECTION_SECONDS + quarantine_relay.TOLD_AGAIN * PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
+        CRASH_DETECTION_SECONDS
+        + quarantine_relay.CRASH_REPEATS * PUSH_SECONDS
+        + 2 * DATAGRAM_SECONDS,
         QUARANTINE_SECONDS,
     ),
     "kept back: a host was cut off": (
--- a/tests/hosted/sites.py
+++ b/tests/hosted/sites.py
@@ -95,14 +95,14 @@
     return sum(upstream.runs.get(request_id, 0) for upstream in site.upstreams.values())
 
 
-async def bring_back(site, copy, away, cut=True):
+async def restore_store(site, copy, away, cut=True):
     """Restore the store from a copy, after an outage of `away` seconds."""
     if away:
         site.store.faults.down = True
         site.store.wake()
         await asyncio.sleep(away)
         site.store.faults.down = False
-    site.store.come_back(copy)
+    site.store.restore(copy)
     if cut:
         site.cut_store_connections()
 
--- a/tests/hosted/test_deadly_requests.py
+++ b/tests/hosted/test_deadly_requests.py
@@ -14,7 +14,7 @@
 from swifttrestle_standins.hosted.upstreams import DEADLY, DEADLY_PROMPT
 from tests.common.http import ask
 from tests.hosted.sites import LONG, SHORT, address_of, on_site
-from tests.hosted.test_starts import tell_starts
+from tests.hosted.test_starts import report_starts
 
 ENGINES = ("prefill", "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
 HOSTS = ("g0", "g1", "g2")
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize(("path", "body", "headers"), KINDS, ids=NAMES)
 @on_site(gateways=3, engines=ENGINES, plain=8)
 async def test_a_request_that_crashes_its_upstreams_is_quarantined(site, path, body, headers):
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
     answers = await send_repeatedly(site, path, body, headers)
     assert_quarantined(site, answers)
@@ -87,7 +87,7 @@
 @on_site(gateways=3, engines=ENGINES, plain=8)
 async def test_a_request_is_the_same_from_any_caller_address(site, path, body, headers):
     """Guards against treating repeats from other addresses, such as proxies', as new requests."""
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
     sources = [f"127.0.0.{number}" for number in range(2, 38)]
     answers = await send_repeatedly(site, path, body, headers, sources=sources)
@@ -99,7 +99,7 @@
 async def test_hosts_refuse_a_quarantined_request_that_they_have_never_seen(
     site, path, body, headers
 ):
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
     sources = [f"127.0.0.{number}" for number in range(2, 38)]
     seen = {"hosts": HOSTS[:1], "sources": sources[:18]}
@@ -116,7 +116,7 @@
 @on_site(gateways=6, engines=ENGINES, plain=8)
 async def test_owners_notify_all_hosts_of_a_large_fleet(site, path, body, headers, monkeypatch):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
-    await tell_starts(site)
+    await report_starts(site)
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 6 for item in gateways), "all hosts")
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
@@ -132,7 +132,7 @@
 async def test_upstreams_that_crash_in_other_ways_count_as_well(site, way):
     # A crash without closed connections is detected only after the request has timed out, so that
     # another attempt may be sent before that.
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(1.0, LATER_START_MS, way)
     answers = await send_repeatedly(site, "/card/a", DEADLY, {}, attempts=8)
     assert len(site.crashes) <= MAX_CRASHES + (way is Crashing.SILENT)
@@ -145,7 +145,7 @@
     site, path, body, headers
 ):
     """Guards against missing crashes of upstreams whose supervisor holds the listening socket."""
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(1.0, LATER_START_MS, Crashing.SUPERVISED)
     answers = []
     for _ in range(6):
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize(("path", "body", "headers"), KINDS[:3], ids=NAMES[:3])
 @on_site(gateways=3, engines=ENGINES, plain=8)
 async def test_a_quarantine_survives_a_restart_of_all_hosts(site, path, body, headers):
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
     await send_repeatedly(site, path, body, headers)
     before = len(site.crashes)
@@ -178,7 +178,7 @@
     site, path, body, headers
 ):
     """Guards against a repeat that crashes the last upstream and makes the service unavailable."""
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(2.0, LATER_START_MS)
     await ask(address_of(site), path, "deadly", body=body, **headers)
     guards = [item.gateway._state.guard for item in site.gateways.values()]
@@ -198,7 +198,7 @@
     """Guards against several trials, and so crashes, before the first one is known to all hosts."""
     if large:
         monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
-    await tell_starts(site)
+    await report_starts(site)
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 8 for item in gateways), "all hosts")
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
--- a/tests/hosted/test_innocents.py
+++ b/tests/hosted/test_innocents.py
@@ -19,7 +19,7 @@
     LATER_START_MS,
     send_repeatedly,
 )
-from tests.hosted.test_starts import tell_starts
+from tests.hosted.test_starts import report_starts
 
 STREAM = {"X_Token_Usage": SHORT, "X_Model": "m"}
 
@@ -48,7 +48,7 @@
 @on_site(gateways=3, engines=ENGINES, plain=8)
 async def test_a_popular_request_beside_one_that_crashes_upstreams_is_served(site, path, headers):
     # It is open at each upstream that crashes, but its answers elsewhere clear it.
-    await tell_starts(site)
+    await report_starts(site)
     site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
     for upstream in site.upstreams.values():
         upstream.seconds = 0.02
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("step", ["reset", "reset-after", "unsigned", "crossed"])
 @on_site(gateways=1, plain=3)
 async def test_failures_at_a_live_upstream_do_not_count_as_crashes(site, step):
-    await tell_starts(site)
+    await report_starts(site)
     script(site, "s", *[step] * 8)
     for number in range(4):
         await ask(address_of(site), "/card/a", f"r{number}", body=b"same")
@@ -88,7 +88,7 @@
 
 @on_site(gateways=1, plain=1)
 async def test_a_failure_at_a_live_upstream_does_not_count_for_its_later_crash(site):
-    await tell_starts(site)
+    await report_starts(site)
     script(site, "s", "reset-after")
     await ask(address_of(site), "/goal/a", "early", body=b"early")
     await find_guard(site).detector.wait_for_probes()
@@ -103,7 +103,7 @@
 
 @on_site(gateways=1, plain=4)
 async def test_a_draining_upstream_that_cuts_open_requests_does_not_count_as_a_crash(site):
-    await tell_starts(site)
+    await report_starts(site)
     for number in range(2):
         for upstream in site.upstreams.values():
             upstream.hold.clear()
@@ -123,7 +123,7 @@
 
 @on_site(gateways=1, plain=4)
 async def test_a_request_that_its_caller_cancelled_does_not_count_as_open_at_a_crash(site):
-    await tell_starts(site)
+    await report_starts(site)
     for upstream in site.upstreams.values():
         upstream.hold.clear()
     caller = await RawCaller.connect(address_of(site))
@@ -141,7 +141,7 @@
 @on_site(gateways=3)
 async def test_an_answer_ends_the_quarantine_of_a_request_at_all_hosts(site):
     # The request is quarantined while it runs at one host, where it then gets its answer.
-    await tell_starts(site)
+    await report_starts(site)
     for upstream in site.upstreams.values():
         upstream.hold.clear()
     asked = asyncio.ensure_future(ask(address_of(site, "g2"), "/card/a", "slow", body=b"same"))
@@ -165,7 +165,7 @@
 @on_site(gateways=2)
 async def test_a_request_with_a_quarantined_head_waits_until_its_body_is_complete(site):
     # Only the body tells whether it is the quarantined request.
-    await tell_starts(site)
+    await report_starts(site)
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
     name = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
--- a/tests/hosted/test_late_words.py
+++ b/tests/hosted/test_late_words.py
@@ -20,9 +20,9 @@
 async def test_a_crash_that_is_received_late_is_not_counted_twice(site):
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 3 for item in gateways), "all hosts")
-    relay = site.gateways["g2"].gateway._crashes
+    relay = site.gateways["g2"].gateway._quarantine_relay
     receive, held = relay._receive, []
-    socket = site.gateways["g2"].gateway._crashes._socket
+    socket = site.gateways["g2"].gateway._quarantine_relay._socket
     socket._receivers[5] = lambda data, ip: held.append((data, ip))
     now = asyncio.get_running_loop().time()
     for number in range(2):
--- a/tests/hosted/test_returned_duties.py
+++ b/tests/hosted/test_returned_duties.py
@@ -5,7 +5,7 @@
 import pytest
 
 from swifttrestle_standins.hosted.site import wait_until
-from tests.hosted.sites import bring_back
+from tests.hosted.sites import restore_store
 from tests.hosted.test_duties import (
     WINDOW_SECONDS,
     on_duty_site,
@@ -35,7 +35,7 @@
     await wait_for_holder(site)
     await send(site, 3)
     await wait_for_usage(site, {"club": 3})
-    await bring_back(site, copy, outage_seconds)
+    await restore_store(site, copy, outage_seconds)
     await send(site, 2, "g1")
     await wait_for_usage(site, {"club": 5})
     assert len(list_holders(site)) == 1
@@ -55,7 +55,7 @@
             # Counts that reach the other hosts after the report.
             item.gateway._duties.usage.meter.note("club", window)
     site.gateways[holder].task.cancel()
-    await bring_back(site, copy, 0.4)
+    await restore_store(site, copy, 0.4)
     await wait_until(lambda: list_holders(site), "another holder")
     other = list_holders(site)[0]
     await send(site, 2, other)
@@ -71,7 +71,7 @@
     copy = site.store.take_copy()
     holder = await wait_for_holder(site)
     epoch = site.store.epoch
-    await bring_back(site, copy, outage_seconds)
+    await restore_store(site, copy, outage_seconds)
 
     def is_taken():
         known = site.store.objects.get(("swifttrestle-leases", "roles"))
@@ -90,7 +90,7 @@
     await wait_for_usage(site, {"club": 3})
     for running in site.gateways.values():
         running.task.cancel()
-    site.store.come_back(copy)
+    site.store.restore(copy)
     site.store.write_all_again()
     for number in (7, 8):
         await site.add_gateway(f"g{number}", number)
--- a/tests/hosted/test_starts.py
+++ b/tests/hosted/test_starts.py
@@ -23,7 +23,7 @@
     return start.record.born if start else None
 
 
-async def tell_starts(site):
+async def report_starts(site):
     """Set the start time of all upstreams, and wait until each host knows it."""
     for upstream in site.upstreams.values():
         upstream.born = FIRST
@@ -39,7 +39,7 @@
 @on_site()
 async def test_a_request_that_is_open_at_a_former_incarnation_is_answered_elsewhere(site, cut):
     # Guards against waiting for an upstream that lost power although its restart is listed already.
-    await tell_starts(site)
+    await report_starts(site)
     for name in ("s0", "s1"):
         site.upstreams[name].hold.clear()
     loop = asyncio.get_running_loop()
@@ -63,7 +63,7 @@
 async def test_a_request_that_may_not_be_repeated_fails_with_the_incarnation_that_received_it(
     site, cut
 ):
-    await tell_starts(site)
+    await report_starts(site)
     for name in ("s0", "s1"):
         site.upstreams[name].hold.clear()
     asked = asyncio.ensure_future(ask(address_of(site), "/goal/a", "g1"))
@@ -77,7 +77,7 @@
 
 @on_site(gateways=2)
 async def test_all_hosts_drop_the_cached_parts_of_a_former_incarnation(site):
-    await tell_starts(site)
+    await report_starts(site)
     assert (await ask(address_of(site), "/verdict/a", "v1", X_Token_Usage=LONG,
                       X_Model="m", X_Prompt_Prefix="aa:8000,bb:1000")).status == 200  # fmt: skip
 
@@ -98,7 +98,7 @@
 
 @on_site()
 async def test_an_entry_of_an_earlier_incarnation_is_ignored(site):
-    await tell_starts(site)
+    await report_starts(site)
     upstream = site.upstreams["s0"]
     site.restart_upstream(upstream, LATER)
     await wait_until(lambda: find_born(site, "s0") == LATER, "later start")
@@ -115,7 +115,7 @@
 async def test_an_order_that_a_former_incarnation_left_unanswered_prevents_orders_to_the_next(site):
     # The next incarnation may still carry it out: its condition, the number of accepted orders,
     # holds at each incarnation that has accepted none.
-    await tell_starts(site)
+    await report_starts(site)
     for upstream in site.upstreams.values():
         upstream.apply_orders = False
 
@@ -134,7 +134,7 @@
 
 @on_site(engines=("prefill", "decode", "decode"))
 async def test_an_engine_gets_no_order_while_its_report_is_of_another_incarnation(site):
-    await tell_starts(site)
+    await report_starts(site)
     # The engine has restarted, and the list does not show that yet.
     site.upstreams["e1"].born = LATER
     site.upstreams["e0"].role = "decode"
--- a/tests/hosted/test_store_returns.py
+++ b/tests/hosted/test_store_returns.py
@@ -11,7 +11,7 @@
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import StandInUpstream
-from tests.hosted.sites import bring_back, build_site, on_built, on_site, wait_in_force
+from tests.hosted.sites import build_site, on_built, on_site, restore_store, wait_in_force
 
 # Kind of objects that hosts do not read; writing them raises the store's revision.
 OTHER_KIND = "others"
@@ -38,7 +38,7 @@
     write_others(site, lost)
     site.store.put("servers", "s1", {**site.store.objects["servers", "s1"]["spec"], "seq": lost})
     await wait_for_revision(site)
-    await bring_back(site, copy, outage_seconds, cut)
+    await restore_store(site, copy, outage_seconds, cut)
 
 
 def hosts_using(site, instance):
@@ -82,7 +82,7 @@
     copy = site.store.take_copy()
     write_others(site, 5)
     await wait_for_revision(site)
-    site.store.come_back(copy)
+    site.store.restore(copy)
     site.list_upstream(site.upstreams["s0"], "draining")
     write_others(site, 20)
     await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
@@ -117,7 +117,7 @@
     version = site.declare()
     others = [item.gateway for item in site.gateways.values()]
     await wait_in_force(site, version)
-    site.store.come_back(copy)
+    site.store.restore(copy)
     started = (await site.add_gateway("g7", 7)).gateway
     await wait_until(started.is_ready, "ready")
     assert started.config_version == version
@@ -134,7 +134,7 @@
     watch = f"GET /v1/objects/config?watch={site.store.revision}&waitMs=3600000"
     await wait_until(lambda: gateway.config_version == first, "in force")
     await wait_until(lambda: watch in site.store.calls, "the long watch")
-    site.store.come_back(copy)
+    site.store.restore(copy)
     second = site.declare()
     await wait_until(lambda: gateway.config_version == second, "in force again")
 
@@ -145,7 +145,7 @@
     first = site.declare()
     await wait_in_force(site, first)
     number = site.store.objects["config", "main"]["metadata"]["revision"]
-    site.store.come_back(copy)
+    site.store.restore(copy)
     second = site.declare()
     assert site.store.objects["config", "main"]["metadata"]["revision"] == number
     await wait_in_force(site, second)
@@ -161,7 +161,7 @@
     await wait_in_force(site, site._version)
     for gateway in gateways:
         await gateway._configuration.confirm()
-    site.store.come_back(copy)
+    site.store.restore(copy)
     site.workspaces = [{"name": "club", "apiKeys": ["key-2"]}]
     version = site.declare()
     for gateway in gateways:
@@ -186,7 +186,7 @@
 @on_built(build_site_with_early_copy)
 async def test_hosts_register_their_addresses_again_after_a_restore(site):
     await wait_until(lambda: list_registered(site) == set(site.gateways), "registered")
-    site.store.come_back(site.early)
+    site.store.restore(site.early)
     await wait_until(lambda: list_registered(site) == set(site.gateways), "registered again")
 
 
@@ -198,9 +198,9 @@
     )
     for item in site.gateways.values():
         item.gateway._state.guard.merge_crash_records([case], "a test")
-        item.gateway._quarantine.note_change()
+        item.gateway._quarantine_store.note_change()
     await wait_until(lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "stored")
-    site.store.come_back(site.early)
+    site.store.restore(site.early)
     await wait_until(
         lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "stored again"
     )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -174,7 +174,7 @@
         store.wake()
         await asyncio.sleep(self._draw_seconds(MAX_OUTAGE_SECONDS) * store.faults.down)
         store.faults.down = False
-        store.come_back(copy)
+        store.restore(copy)
         if self._rng.random() < 0.5:
             self._site.proxies["store"].reset()
         written = store.list_written()
