--- a/tests/hosted/test_late_words.py
+++ b/tests/hosted/test_late_messages.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.hosted.site import wait_until
 from tests.hosted.sites import on_site
-from tests.hosted.test_innocents import count_quarantined, find_guard
+from tests.hosted.test_unaffected_requests import count_quarantined, find_guard
 
 FINGERPRINT = RequestFingerprint(bytes(8), bytes(range(8)))
 LATE_SECONDS = 2.5
--- a/tests/hosted/test_kept_quarantine.py
+++ b/tests/hosted/test_stored_quarantine.py
@@ -16,7 +16,7 @@
 from swifttrestle_standins.hosted.site import wait_until
 from tests.common.http import ask
 from tests.hosted.sites import address_of, on_site
-from tests.hosted.test_innocents import count_quarantined, find_guard
+from tests.hosted.test_unaffected_requests import count_quarantined, find_guard
 
 OBJECT = QUARANTINE_KIND, QUARANTINE_NAME
 FINGERPRINT = RequestFingerprint(bytes(8), bytes(range(8)))
--- a/tests/hosted/test_innocents.py
+++ b/tests/hosted/test_unaffected_requests.py
@@ -12,7 +12,7 @@
 from swifttrestle_standins.hosted.upstreams import DEADLY
 from tests.common.http import RawCaller, ask, write_request
 from tests.hosted.sites import SHORT, address_of, count_runs, on_site, script
-from tests.hosted.test_deadly_requests import (
+from tests.hosted.test_crashing_requests import (
     AWAY_SECONDS,
     ENGINES,
     HOSTS,
