--- a/bench/mix.py
+++ b/bench/mix.py
@@ -230,7 +230,7 @@
             panel.plot(LOADS, medians, marker="o", label=label)
         panel.set_title(name)
         panel.set_xlabel("load as a share of capacity")
-    panels[0].set_ylabel("answers whole and in time, a second")
+    panels[0].set_ylabel("complete answers in time, per second")
     panels[0].legend(fontsize=8)
     figure.tight_layout()
     figure.savefig(path, dpi=90)
--- a/bench/report.py
+++ b/bench/report.py
@@ -109,7 +109,7 @@
 
 def _write_lowest_days(score: Score) -> list[str]:
     lowest = sorted(score.days, key=lambda day: day.worth)[:LOWEST_DAYS]
-    lines = [f"Dearest on the weakest days of the last score ({score.why}):\n"]
+    lines = [f"Highest prices on the lowest days of the last score ({score.why}):\n"]
     for day in lowest:
         costliest = sorted(day.prices.items(), key=lambda item: -item[1][1])[:SHOWN_PRICES]
         shown_costs = ", ".join(
--- a/tests/cover/test_report.py
+++ b/tests/cover/test_report.py
@@ -56,7 +56,7 @@
 
 def test_the_lowest_days_come_first_with_their_highest_prices():
     page = write_page([read_score(make_entry(days=[QUIET, VIOLATION]))])
-    lowest = page[page.index("Dearest") :].splitlines()
+    lowest = page[page.index("Highest prices") :].splitlines()
     assert lowest[2] == "- trouble-1 (0.250): cloud calls 0.020"
     assert lowest[3] == "- quiet-1 (0.500): cloud calls 0.010, processor seconds 0.001"
 
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -11,7 +11,7 @@
 from tests.soak.rounds import run_round
 
 
-def play(first=1, seeds=10, hosts=4, seconds=6.0, callers=12):
+def run_rounds(first=1, seeds=10, hosts=4, seconds=6.0, callers=12):
     """Run a round per seed and print its findings; the last line lists the failed seeds."""
     # SIGTERM raises KeyboardInterrupt, so that the processes of the round are ended.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
@@ -30,4 +30,4 @@
 
 
 if __name__ == "__main__":
-    fire.Fire(play)
+    fire.Fire(run_rounds)
