--- a/src/swifttrestle_standins/hosted/duties.py
+++ b/src/swifttrestle_standins/hosted/duties.py
@@ -154,9 +154,9 @@
         engine = StandInEngine(f"n{next(self._engine_numbers)}", service, zone, "prefill")
         engine.reclaimable = reclaimable
         self._site.upstreams[engine.instance] = engine
-        self._schedule(self._boot_seconds, lambda: self._start_serving(engine))
+        self._schedule(self._boot_seconds, lambda: self._bring_up(engine))
 
-    async def _start_serving(self, engine: StandInEngine) -> None:
+    async def _bring_up(self, engine: StandInEngine) -> None:
         """Make an engine serve, unless it was removed while it was booting."""
         if engine.instance in self._site.upstreams:
             await self._site.add_upstream(engine)
