--- a/src/swifttrestle/internal/state/backpressure.py
+++ b/src/swifttrestle/internal/state/backpressure.py
@@ -7,8 +7,7 @@
 class Backpressure:
     """Backpressure signals of one response.
 
-    `cool_down` is the cool-down in seconds for which the upstream wants no request from this host,
-    0 if
+    `cool_down` is the time in seconds for which the upstream wants no request from this host, 0 if
     it asks for none and None if the value is malformed. `rate` is its limit in requests per second
     from all hosts together, None if it names no limit. `unreadable` lists the malformed headers, as
     "name: value".
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -30,11 +30,12 @@
     """What a request needs of engines; times are in seconds from now.
 
     `left` is the time to the deadline. `longest_wait` is the longest wait for engines that still
-    meets the latency objective, and `max_wait` the longest wait in all, served from what other
-    requests leave. `longest_read_wait` is the longest acceptable predicted wait for prefill: the
-    time already waited is subtracted, unless the request is `late`, so that it misses its objective
-    anyway. Prefill must end within `latest_read` for the objective to be met. `parts` are the
-    parts of the prompt, with ids that differ between models.
+    meets the latency objective. `max_wait` is the longest wait in all; after `longest_wait`, the
+    request gets only capacity that requests in time leave. `longest_read_wait` is the longest
+    acceptable predicted wait for prefill; the time already waited is subtracted from it, unless
+    the request is `late` and misses its objective anyway. Prefill must end within `latest_read`
+    for the objective to be met. `parts` are the parts of the prompt, with ids that differ between
+    models.
     """
 
     service: str
@@ -87,12 +88,11 @@
     """The engines of one request: `reader` prefills its prompt, `decoder` decodes.
 
     Both are the same engine if the decode engine also prefills. `tokens` are the prompt tokens
-    that the prefill engine has neither cached nor fetches. `tokens_ahead` are the tokens queued
-    there,
-    these included, and `wait` is its predicted wait in seconds, both at the time of booking.
-    `reference` is set if another host keeps the booking. `parts` are the parts of the prompt,
-    `unread` those that the prefill engine has not cached. `source` is the engine from which it
-    fetches some of them, in `fetch_seconds`.
+    that the prefill engine has neither cached nor fetches. `tokens_ahead` are all tokens queued
+    there, including these, and `wait` is its predicted wait in seconds, both at the time of
+    booking. `reference` is set if another host holds the booking. `parts` are the parts of the
+    prompt, `unread` those that the prefill engine has not cached. `source` is the engine from which
+    it fetches some of them, in `fetch_seconds`.
     """
 
     reader: Instance
--- a/src/swifttrestle/internal/state/crash_records.py
+++ b/src/swifttrestle/internal/state/crash_records.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """The crash of one incarnation of an upstream, named by `start`, at the loop's time `at`."""
+    """The crash of an upstream's incarnation `start`, at the event loop's time `at`."""
 
     start: str
     at: float
--- a/src/swifttrestle/internal/state/demand.py
+++ b/src/swifttrestle/internal/state/demand.py
@@ -71,8 +71,9 @@
     def note_arrival(self, service: str, route: str, tokens: int, now: float) -> None:
         """Count an offered request; `tokens` are the prompt tokens for another engine to prefill.
 
-        Whole prompts count, although engines have some parts cached: requests with cached parts
-        are served more often, so that the cached share of served requests is too high for others.
+        All tokens of a prompt count, even if engines have some of them cached: requests with cached
+        parts are served more often, so the cached share of served requests overestimates that of
+        all requests.
         """
         hold = self._hold_seconds.get(route, DEFAULT_HOLD_SECONDS)
         offered = Demand(tokens, hold, hold if tokens else 0.0)
@@ -107,7 +108,7 @@
         self._peers[peer] = offered
 
     def forget_peer(self, peer: str) -> None:
-        """Drop the load of a peer that is gone."""
+        """Drop the load reported by a peer."""
         self._peers.pop(peer, None)
 
     def sum_of(self, peers: Iterable[str], now: float) -> dict[str, Demand]:
--- a/src/swifttrestle/internal/state/duties.py
+++ b/src/swifttrestle/internal/state/duties.py
@@ -27,8 +27,8 @@
 class RecordedCapacity:
     """The number of upstreams of one kind last ordered for a service in a zone.
 
-    `need` is the number that the whole service needed at that time, by the holder that ordered; 0
-    if it was not known.
+    `need` is the number that the service needed in all zones at that time, as estimated by the
+    holder that ordered; 0 if it was not known.
     """
 
     service: str
@@ -42,7 +42,7 @@
 class RecordedUsage:
     """The usage report of one window, recorded before it is sent and never changed after that.
 
-    `taken` is set when the platform has acknowledged it, or when it is given up.
+    `taken` is set when the platform has acknowledged it, or when its sender has given up.
     """
 
     window: int
@@ -103,7 +103,7 @@
         return replace(self, capacity=(*others, order))
 
     def with_former(self, former: "DutyLease") -> "DutyLease":
-        """Return this restored lease, completed by the newer one that its last holder knows."""
+        """Return this restored lease, completed from the newer one that its last holder knows."""
         reports = {item.window: item for item in self.usage}
         for item in former.usage:
             known = reports.get(item.window)
@@ -200,7 +200,7 @@
 
 def _read_counts(raw: Mapping[Any, Any]) -> dict[str, int]:
     for name, count in raw.items():
-        whole = isinstance(count, int) and not isinstance(count, bool)
-        if not isinstance(name, str) or not whole or count < 0:
+        is_integer = isinstance(count, int) and not isinstance(count, bool)
+        if not isinstance(name, str) or not is_integer or count < 0:
             raise BadEntryError("a lease", "counts", count, "each count must be an integer from 0")
     return dict(raw)
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -206,7 +206,7 @@
         return True
 
     def note_leaving(self, start: str) -> None:
-        """Mark an incarnation as draining after it has announced so."""
+        """Mark an incarnation as draining after it has announced that it is."""
         known = self.instances.get(start)
         if known is not None:
             self.put(known.record)
--- a/src/swifttrestle/internal/state/peers.py
+++ b/src/swifttrestle/internal/state/peers.py
@@ -7,14 +7,14 @@
 
 # Seconds without a heartbeat after which a peer counts as gone: four lost heartbeats.
 PEER_TIMEOUT_SECONDS = 2.0
-# The same for a peer known by others' reports, which are up to two heartbeats older. A peer that
-# its reporters have lost is withdrawn explicitly.
+# The same for a peer known by others' reports, which are up to two heartbeats older. A peer whose
+# heartbeats no longer reach its reporters is withdrawn explicitly.
 REPORTED_PEER_TIMEOUT_SECONDS = 3.0
-# Seconds for which a peer that announced its stop counts as stopping: by then no roster from before
-# that announcement is in use any more.
+# Seconds for which a peer that announced its stop counts as stopping. All rosters from before the
+# announcement have expired by then.
 LEAVING_SECONDS = 2 * PEER_TIMEOUT_SECONDS
 # Seconds for which a peer's report that the store answers is valid: two heartbeats. In a large
-# fleet no other may follow for long, and the store may fail after it.
+# fleet, the next report may come much later, and the store may have failed by then.
 STORE_REPORT_SECONDS = 1.2
 # Seconds for which the computed list of members is cached.
 MEMBERS_CACHE_SECONDS = 0.1
@@ -27,8 +27,9 @@
 class Peer:
     """One other host; times are the event loop's.
 
-    `heard_at` is the time of its last heartbeat here, `reported_at` the last time at which another
-    host reported it as live. The other `_at` fields are the times of its last report of that state.
+    `last_heartbeat_at` is the time of its last heartbeat here, `reported_at` the last time at which
+    another host reported it as live. The other `_at` fields are the times of its last report of
+    that state.
     """
 
     host: str
@@ -36,7 +37,7 @@
     zone: str = ""
     link_mbps: float = 0.0
     incarnation: int = 0
-    heard_at: float = NEVER
+    last_heartbeat_at: float = NEVER
     reported_at: float = NEVER
     leaving_at: float = NEVER
     held_duty_lease_at: float = NEVER
@@ -47,10 +48,10 @@
 
     def is_alive(self, now: float) -> bool:
         """Return whether this host has received a recent heartbeat from it."""
-        return now - self.heard_at < PEER_TIMEOUT_SECONDS
+        return now - self.last_heartbeat_at < PEER_TIMEOUT_SECONDS
 
     def is_seen(self, now: float) -> bool:
-        """Return whether it was recently heard by this host or reported by another one."""
+        """Return whether it is alive here or was recently reported by another host."""
         return self.is_alive(now) or now - self.reported_at < REPORTED_PEER_TIMEOUT_SECONDS
 
     def is_live(self, now: float) -> bool:
@@ -71,7 +72,7 @@
     """State that a peer reports of itself.
 
     `store_seconds` is the time for which the store has answered it without interruption, 0 if the
-    store does not answer and None if the message does not say.
+    store does not answer and None if the message does not include it.
     """
 
     member: Member
@@ -115,7 +116,7 @@
         was_live = peer.is_live(now)
         peer.ip, peer.zone, peer.link_mbps = member.ip, member.zone, member.link_mbps
         peer.incarnation = heartbeat.incarnation
-        peer.heard_at = now
+        peer.last_heartbeat_at = now
         peer.leaving_at = now if heartbeat.leaving else NEVER
         peer.held_duty_lease_at = now if heartbeat.holds_duty_lease else NEVER
         peer.store_unreachable_at = now if heartbeat.store_unreachable else NEVER
@@ -144,7 +145,7 @@
             peer.reported_at = max(peer.reported_at, at)
 
     def withdraw(self, host: str) -> None:
-        """Discard the reports of a host, since no reporter hears it any more."""
+        """Discard the reports of a host whose heartbeats no reporter receives."""
         peer = self.peers.get(host)
         if peer is not None:
             peer.reported_at = NEVER
@@ -168,8 +169,8 @@
     def find_store_up_since(self, now: float) -> float:
         """Return since when the store has answered some peer without interruption.
 
-        Infinite if no peer has recently reported so: then an outage of the store cannot be told
-        from a broken path to it.
+        Infinite if no peer has recently reported so: an outage of the store cannot then be
+        distinguished from a broken path to it.
         """
         reported = (
             peer.store_since
@@ -187,7 +188,7 @@
         ]
 
     def list_seen(self, now: float) -> list[Peer]:
-        """Return the peers recently heard or reported, including stopping ones."""
+        """Return the recently seen peers, including stopping ones."""
         return [peer for peer in self.peers.values() if peer.is_seen(now)]
 
     def list_unseen(self, now: float) -> list[Peer]:
--- a/src/swifttrestle/internal/state/request_fingerprints.py
+++ b/src/swifttrestle/internal/state/request_fingerprints.py
@@ -14,8 +14,8 @@
 class RequestFingerprint:
     """Digests of a request's head (workspace, method, host, path) and of its body.
 
-    They are separate because the first one is known before the body arrives: it tells most
-    requests from a known one without waiting for the body or hashing it.
+    They are separate because the head's digest is known before the body arrives. If it differs from
+    a known one, the body need neither be awaited nor hashed.
     """
 
     head: bytes
@@ -29,13 +29,13 @@
 def parse_fingerprint(text: str) -> RequestFingerprint:
     """Parse the form shown in logs and pages; raise ValueError."""
     head, _, body = text.partition("-")
-    name = RequestFingerprint(bytes.fromhex(head), bytes.fromhex(body))
-    if not len(name.head) == len(name.body) == FINGERPRINT_HALF_BYTES:
+    fingerprint = RequestFingerprint(bytes.fromhex(head), bytes.fromhex(body))
+    if not len(fingerprint.head) == len(fingerprint.body) == FINGERPRINT_HALF_BYTES:
         raise ValueError(
-            f"{text!r} is not a request name; give two groups of {2 * FINGERPRINT_HALF_BYTES} "
-            "hexadecimal digits, joined by a dash"
+            f"{text!r} is not a request fingerprint; give two groups of "
+            f"{2 * FINGERPRINT_HALF_BYTES} hexadecimal digits, joined by a dash"
         )
-    return name
+    return fingerprint
 
 
 def fingerprint_head(head: RequestHead, workspace: str) -> bytes:
--- a/src/swifttrestle/internal/state/upstream_conditions.py
+++ b/src/swifttrestle/internal/state/upstream_conditions.py
@@ -22,10 +22,10 @@
 class UpstreamCondition:
     """What one incarnation of an upstream accepts; times are the event loop's.
 
-    `cool_down_until` is the end of the cool-down that it asked this host for. Until `tried_until`
-    one
-    request probes it after that. `denied_until` is the time at which its rate limit may permit
-    another request of this host, by urgency. `seen_at` is when it was last listed, 0 if never.
+    `cool_down_until` is the end of the cool-down that it asked this host for. After that, a single
+    request probes it until `tried_until`. `denied_until` is the time at which its rate limit may
+    permit another request of this host, by urgency. `seen_at` is when it was last listed, 0 if
+    never.
     """
 
     leaving: bool = False
@@ -55,7 +55,7 @@
         return max(0.0, max(self.cool_down_until, self.tried_until, denied) - now)
 
     def start_cool_down(self, until: float) -> None:
-        """Send it no requests until the time `until`."""
+        """Start or extend a cool-down until the event loop's time `until`."""
         self.cool_down_until = max(until, self.cool_down_until)
         self.tried_until = NEVER
         self.awaiting_trial = True
