--- a/src/swifttrestle/internal/protocol/bookings.py
+++ b/src/swifttrestle/internal/protocol/bookings.py
@@ -40,10 +40,9 @@
 class Grant:
     """Names the booked engines.
 
-    `tokens_ahead` are the tokens queued at the prefill engine (`reader`), the request's own
-    included, and
-    `wait` is its predicted wait in seconds. `tokens` are the request's prompt tokens that it has
-    neither cached nor fetches. `source` is the engine from which it fetches, "" for none, in
+    `tokens_ahead` are the tokens queued at the prefill engine (`reader`), including the request's
+    own, and `wait` is its predicted wait in seconds. `tokens` are the request's prompt tokens that
+    it has neither cached nor fetches. `source` is the engine from which it fetches, "" for none, in
     `fetch_seconds`.
     """
 
--- a/src/swifttrestle/internal/protocol/calls.py
+++ b/src/swifttrestle/internal/protocol/calls.py
@@ -1,7 +1,7 @@
 """Requests to upstreams: streamed calls to engines and calls to plain services.
 
-The field `sent` of each error says whether the upstream may have executed the request, which
-decides whether the call may be retried.
+The field `sent` of an error is true if the upstream may have executed the request; it decides
+whether the call may be retried.
 """
 
 import socket
@@ -24,8 +24,8 @@
 # Largest accepted response body of a plain service, in bytes.
 MAX_RESPONSE_BYTES = 16_000_000
 STATUS_OK, STATUS_UNAVAILABLE, STATUS_TOO_MANY = 200, 503, 429
-# Reasons of a refusal for which the upstream serves no such requests at all at present.
-GONE_REASONS = ("leaving", "away", "model", "role", "changing", "cut")
+# Reasons of refusals by upstreams that currently serve no requests of this kind.
+UNAVAILABLE_REASONS = ("leaving", "away", "model", "role", "changing", "cut")
 # Longer times in a Retry-After header are ignored.
 MAX_RETRY_AFTER_SECONDS = 60.0
 # Bytes of a refusal's body that are read.
@@ -196,7 +196,7 @@
     message = f"status {status} {reason}"
     if status not in (STATUS_UNAVAILABLE, STATUS_TOO_MANY):
         raise UpstreamBrokenError(message, sent=True)
-    if reason in GONE_REASONS:
+    if reason in UNAVAILABLE_REASONS:
         raise UpstreamLeavingError(message, sent=False, retry_after=retry_after)
     raise UpstreamBusyError(message, sent=False, retry_after=retry_after)
 
--- a/src/swifttrestle/internal/protocol/engine.py
+++ b/src/swifttrestle/internal/protocol/engine.py
@@ -34,7 +34,7 @@
 
 
 def read_holding(value: dict[str, Any]) -> EngineAssignment:
-    """Parse a holding."""
+    """Parse an assignment."""
     return EngineAssignment(
         str(value["model"]),
         str(value["version"]),
@@ -83,7 +83,7 @@
 
     @abstractmethod
     def send_order(self, order_id: str, fence: int, wanted: EngineAssignment | None) -> None:
-        """Order a holding; with None, only raise the fencing token.
+        """Order an assignment; with None, only raise the fencing token.
 
         Raises StaleTokenError, or UpstreamBrokenError, after which the order may have taken effect.
         """
@@ -106,7 +106,7 @@
         return read_load_report(self._call("GET", "/load"))
 
     def send_order(self, order_id: str, fence: int, wanted: EngineAssignment | None) -> None:
-        """Order a holding; with None, only raise the fencing token."""
+        """Order an assignment; with None, only raise the fencing token."""
         order: dict[str, Any] = {"order_id": order_id, "token": fence, "action": "raise"}
         if wanted is not None:
             order |= {"action": "hold", "wanted": wanted.plain()}
--- a/src/swifttrestle/internal/protocol/listings.py
+++ b/src/swifttrestle/internal/protocol/listings.py
@@ -59,7 +59,7 @@
     """Return the datagram of changes, compressed if they do not fit otherwise.
 
     If they do not fit at all, the datagram has no changes and its `since` equals its `revision`, so
-    that receivers that are behind read the list itself.
+    that receivers with an older revision read the list itself.
     """
     data = _pack(changes)
     if len(data) <= MAX_DATAGRAM_BYTES:
--- a/src/swifttrestle/internal/protocol/permits.py
+++ b/src/swifttrestle/internal/protocol/permits.py
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True)
 class PermitReply:
-    """Grants a permit if `seconds` is 0, or says after how many seconds to ask again.
+    """Grants a permit if `seconds` is 0; otherwise the receiver may ask again after that time.
 
-    It also carries the latest known rate limit.
+    `rate_limit` is the latest one known to the sender.
     """
 
     number: int
@@ -135,7 +135,9 @@
 
 def _read_start(raw: Any) -> str:
     if not isinstance(raw, str) or not 0 < len(raw) <= MAX_START_CHARACTERS:
-        raise ValueError(f"{raw!r} names no start; give 1 to {MAX_START_CHARACTERS} characters")
+        raise ValueError(
+            f"{raw!r} is not an incarnation's name; give 1 to {MAX_START_CHARACTERS} characters"
+        )
     return raw
 
 
--- a/src/swifttrestle/internal/protocol/quarantine.py
+++ b/src/swifttrestle/internal/protocol/quarantine.py
@@ -20,7 +20,7 @@
 
 # Records per datagram; one with four crashes and usual names takes about 170 bytes.
 RECORDS_PER_DATAGRAM = MAX_DATAGRAM_BYTES // 172
-# Most crashes accepted per record. Hosts keep fewer, but later versions may keep more.
+# Maximum number of crashes accepted per record. Hosts keep fewer, but later versions may keep more.
 MAX_CRASHES = 16
 # Longest accepted name of an upstream's incarnation, in characters.
 MAX_START_CHARACTERS = 200
@@ -100,19 +100,21 @@
 def unpack_fingerprint(raw: Any) -> RequestFingerprint:
     """Parse the bytes that `pack_fingerprint` returns; raise ValueError."""
     if not isinstance(raw, bytes) or len(raw) != 2 * FINGERPRINT_HALF_BYTES:
-        raise ValueError(f"{raw!r} is no fingerprint; give {2 * FINGERPRINT_HALF_BYTES} bytes")
+        raise ValueError(f"{raw!r} is not a fingerprint; give {2 * FINGERPRINT_HALF_BYTES} bytes")
     return RequestFingerprint(raw[:FINGERPRINT_HALF_BYTES], raw[FINGERPRINT_HALF_BYTES:])
 
 
 def _read_start(raw: Any) -> str:
     if not isinstance(raw, str) or not 0 < len(raw) <= MAX_START_CHARACTERS:
-        raise ValueError(f"{raw!r} names no start; give 1 to {MAX_START_CHARACTERS} characters")
+        raise ValueError(
+            f"{raw!r} is not an incarnation's name; give 1 to {MAX_START_CHARACTERS} characters"
+        )
     return raw
 
 
 def _read_age(raw: Any) -> float:
     if not isinstance(raw, float) or not 0 <= raw < float("inf"):
-        raise ValueError(f"{raw!r} is no age; give a number of seconds from 0")
+        raise ValueError(f"{raw!r} is not an age; give a number of seconds from 0")
     return raw
 
 
--- a/src/swifttrestle/internal/protocol/rosters.py
+++ b/src/swifttrestle/internal/protocol/rosters.py
@@ -18,7 +18,7 @@
 
 # Entries per datagram, of about 45 bytes each, so that it fits one packet of a usual link.
 ENTRIES_PER_PART = 24
-# Most parts accepted per roster.
+# Maximum number of parts accepted per roster.
 MAX_PARTS = 64
 
 
@@ -64,7 +64,7 @@
     `own` confirms the roster of its own zone, `others` those received from other aggregators.
     `role_holder` is the host of its zone that holds the duty lease, or empty. `demand` is the load
     offered by all callers of its zone, by service. `roles` maps an engine to its ordered role and
-    the seconds until that takes effect, negative if it should have already.
+    the seconds until that takes effect, negative if that time has passed.
     """
 
     host: str
--- a/src/swifttrestle/internal/protocol/tokens.py
+++ b/src/swifttrestle/internal/protocol/tokens.py
@@ -1,4 +1,4 @@
-"""Checks that an engine streams the response of one attempt, with each token once and complete.
+"""Checks that an engine streams the complete response of one attempt, with each token once.
 
 An event in the usual form is checked by a comparison of its first bytes; any other event is parsed
 and its fields are compared.
