--- a/src/swifttrestle/internal/transport/caller.py
+++ b/src/swifttrestle/internal/transport/caller.py
@@ -334,7 +334,7 @@
         raise _RefusedError
 
     def _refuse(self, status: int) -> None:
-        """Respond with an error status after the requests before, and close."""
+        """Respond with an error status after all earlier responses, and close."""
         self._refusal = status
         self._stop_timer()
         if self._body is not None:
--- a/src/swifttrestle/internal/transport/http.py
+++ b/src/swifttrestle/internal/transport/http.py
@@ -1,6 +1,6 @@
 """HTTP servers based on cheroot and clients based on urllib3.
 
-`Exchange.hand_over` lets a worker thread give the caller's socket away once a response has begun,
+`Exchange.detach_socket` lets a worker thread pass on the caller's socket once a response has begun,
 so that an open stream occupies no thread; see docs/design/relay.md.
 """
 
@@ -78,7 +78,7 @@
         self.reply(status, orjson.dumps(value, default=str), JSON, headers)
 
     def detach_socket(self) -> socket.socket:
-        """Detach the caller's socket from the server and return it; its owner sends the response.
+        """Detach the caller's socket from the server; the caller of this method sends the response.
 
         The server's socket object is left without a descriptor, and `linger` keeps cheroot from
         shutting the connection down when it drops that object.
--- a/src/swifttrestle/internal/transport/messages.py
+++ b/src/swifttrestle/internal/transport/messages.py
@@ -43,7 +43,7 @@
 class ResponseHead:
     """The head of an upstream's response.
 
-    `closes` says that the connection ends after it. `keep_alive_seconds` is the timeout in its
+    `closes` is true if the connection ends after it. `keep_alive_seconds` is the timeout in its
     Keep-Alive header, or None.
     """
 
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -13,12 +13,12 @@
 from swifttrestle.internal.transport.messages import ResponseHead
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest, UpstreamConnection
 
-# Connection timeout. Hosts of the same region connect within milliseconds, and another upstream is
-# faster than a SYN retransmission after one second.
+# Connection timeout, shorter than TCP's first SYN retransmission, so that another upstream is tried
+# instead.
 CONNECT_SECONDS = 0.3
 # TCP keepalive: idle time before the first probe and between probes, and the number of probes
-# without a response after which the kernel breaks the connection. This ends a silent connection
-# within three seconds, the time after which a host must work as usual again.
+# without a response after which the kernel breaks the connection. A silent connection ends within
+# three seconds.
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
 # Time for which sent data may stay unacknowledged before the kernel breaks the connection.
@@ -48,10 +48,10 @@
 
 
 class ConnectionPool:
-    """Connections to upstream instances; reuses the latest one, so that surplus ones expire."""
+    """Connections to upstreams; reuses the most recently used one, so that surplus ones expire."""
 
     def __init__(self, unacknowledged_ms: int = UNACKNOWLEDGED_MS) -> None:
-        """Break connections whose data stays unacknowledged for so long."""
+        """Break connections whose data stays unacknowledged for `unacknowledged_ms`."""
         self._unacknowledged_ms = unacknowledged_ms
         self._idle: dict[str, deque[UpstreamConnection]] = defaultdict(deque)
         self._in_use: dict[str, set[UpstreamConnection]] = defaultdict(set)
@@ -89,9 +89,9 @@
         seconds = (
             DEFAULT_IDLE_SECONDS if head.keep_alive_seconds is None else head.keep_alive_seconds
         )
-        keep = seconds - IDLE_MARGIN_SECONDS
+        idle_seconds = seconds - IDLE_MARGIN_SECONDS
         now = asyncio.get_running_loop().time()
-        connection.idle_until = now + keep if keep > 0 else 0.0
+        connection.idle_until = now + idle_seconds if idle_seconds > 0 else 0.0
 
     def forget(self, instance: str) -> None:
         """Close all idle connections to an instance."""
@@ -107,7 +107,7 @@
     async def probe(self, instance: str, address: Address) -> None:
         """Open a connection to an instance and keep it for the next request.
 
-        Raises UpstreamUnreachedError, whose `refused` says that the connection was refused.
+        Raises UpstreamUnreachedError, whose `refused` is true if the connection was refused.
         """
         connection = await self._connect(address)
         now = asyncio.get_running_loop().time()
--- a/src/swifttrestle/internal/transport/stream_relay.py
+++ b/src/swifttrestle/internal/transport/stream_relay.py
@@ -27,7 +27,7 @@
     """The event for which a task waits."""
 
     DATA = "upstream data"
-    WRITABLE = "room towards the caller"
+    WRITABLE = "space in the caller's socket buffer"
 
 
 Task = Generator[WaitFor, None, None]
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -155,7 +155,7 @@
     async def exchange(self, request: OutgoingRequest) -> tuple[ResponseHead, Body]:
         """Send a request; return the response's head, and its body as it arrives.
 
-        Raises UpstreamBrokenError, whose `sent` says whether any byte may have been sent.
+        Raises UpstreamBrokenError, whose `sent` is true if any byte may have been sent.
         """
         if not self.usable:
             raise UpstreamBrokenError("connection closed", sent=False)
@@ -183,9 +183,8 @@
         """Finish an exchange; return whether the connection may be reused.
 
         An upstream may respond before it has read the whole request. The rest is then sent for up
-        to `timeout_seconds` seconds; after that the connection is not reused, because the upstream
-        would
-        take the next request for that rest.
+        to `timeout_seconds`. If that does not suffice, the connection is not reused, because the
+        upstream would read the next request as the rest of this one.
         """
         if self._sender is not None:
             # `asyncio.wait_for` would swallow a cancellation that coincides with the sender's end.
@@ -205,7 +204,7 @@
         return self._exchanges > 1 and not self._received and waited >= SILENT_SECONDS
 
     def close(self) -> None:
-        """Close at once, which tells the upstream that the request is abandoned."""
+        """Abort the connection, by which the upstream detects that the request is abandoned."""
         self.reusable = False
         if self._sender is not None:
             self._sender.cancel()
