--- a/src/swifttrestle/internal/entry/attempts.py
+++ b/src/swifttrestle/internal/entry/attempts.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """An upstream that was selected for a request and counts it as open."""
+    """The selected upstream of a request, on which the request is counted as open."""
 
     candidate: Candidate
     uncached_tokens: float
@@ -39,7 +39,7 @@
     address: str
     call: EngineCall
     stream: OpenStream
-    selection: UpstreamRequirements
+    requirements: UpstreamRequirements
     work: RequestEstimate
     started_at: float
 
@@ -93,11 +93,11 @@
         self,
         target: Target,
         call: EngineCall,
-        selection: UpstreamRequirements,
+        requirements: UpstreamRequirements,
         work: RequestEstimate,
         seconds: float = FIRST_TOKEN_TIMEOUT_SECONDS,
     ) -> Attempt:
-        """Call the selected engine and wait `seconds` for its first token, 30 s at most.
+        """Call the selected engine and wait `seconds` for its first token, within fixed bounds.
 
         Raises UpstreamError; the request is then no longer counted on the engine.
         """
@@ -124,8 +124,12 @@
             raise
         tokens_ahead = target.candidate.waiting_tokens + target.uncached_tokens
         self._table.note_first_token(name, tokens_ahead, read_boottime_seconds() - started_at)
-        self._table.prefixes.note_stored(target.candidate.prefill_engine or name, selection.blocks)
-        return Attempt(name, address, pinned_call, stream, selection, work, read_boottime_seconds())
+        self._table.prefixes.note_stored(
+            target.candidate.prefill_engine or name, requirements.blocks
+        )
+        return Attempt(
+            name, address, pinned_call, stream, requirements, work, read_boottime_seconds()
+        )
 
     def _prefill(self, engine: str, call: EngineCall) -> dict[str, str]:
         """Run the prefill on another engine, which counts it as open meanwhile."""
@@ -165,11 +169,11 @@
 
     def resume(self, attempt: Attempt, offset: int, failed: list[str]) -> Attempt:
         """Open the rest of a response on another engine with the same model version."""
-        selection = replace(attempt.selection, version=attempt.call.version)
-        remaining = excluding(selection, failed)
+        requirements = replace(attempt.requirements, version=attempt.call.version)
+        remaining = excluding(requirements, failed)
         candidates = tuple(self._table.candidates(remaining))
         target = self.select(candidates, attempt.work)
         if target is None:
             raise UpstreamLeavingError("no other engine holds this model version")
         call = replace(attempt.call, attempt=attempt.call.attempt + 1, offset=offset, kv_from=None)
-        return self.open(target, call, selection, attempt.work)
+        return self.open(target, call, requirements, attempt.work)
--- a/src/swifttrestle/internal/entry/handler.py
+++ b/src/swifttrestle/internal/entry/handler.py
@@ -37,7 +37,7 @@
 from swifttrestle.internal.transport.http import Exchange, Handler
 from swifttrestle.resources import ResourceSet, Service
 
-# Share of the worker threads that requests which are not urgent may occupy while they wait.
+# Share of the worker threads that waiting non-urgent requests may occupy.
 NON_URGENT_THREAD_SHARE = 0.6
 # Worker threads that waiting requests never occupy.
 RESERVED_THREADS = 4
@@ -178,12 +178,12 @@
         completion = read_completion(body, chat)
         service = self._find_service(completion.service, "model", workspace)
         terms = read_terms(exchange, service, workspace, started)
-        work, selection = self._plan(completion, service, terms)
+        work, requirements = self._plan(completion, service, terms)
         call = self._make_call(completion, service, terms, work)
         fingerprint = make_fingerprint(workspace, exchange.path, body)
         tracked = self._track(call.request_id, fingerprint)
         with tracked, self._claim(service, terms), _WaitingThread(self, terms.priority):
-            attempt = self._open_first(call, selection, work, terms)
+            attempt = self._open_first(call, requirements, work, terms)
         self._metrics.count("accepted_total", service=service.name)
         answer = CallerResponse(
             exchange.detach_socket(), call.request_id, terms.caller_id, completion.stream
@@ -223,7 +223,7 @@
     def _open_first(
         self,
         call: EngineCall,
-        selection: UpstreamRequirements,
+        requirements: UpstreamRequirements,
         work: RequestEstimate,
         terms: RequestTerms,
     ) -> Attempt:
@@ -232,19 +232,19 @@
         def open_stream(target: Target, number: int) -> Attempt:
             numbered_call = EngineCall(**{**vars(call), "attempt": number})
             remaining = terms.remaining(read_boottime_seconds())
-            return self._attempts.open(target, numbered_call, selection, work, remaining)
+            return self._attempts.open(target, numbered_call, requirements, work, remaining)
 
-        return self._attempt_with_retries(call.request_id, selection, work, terms, open_stream)
+        return self._attempt_with_retries(call.request_id, requirements, work, terms, open_stream)
 
     def _attempt_with_retries(
         self,
         request_id: str,
-        selection: UpstreamRequirements,
+        requirements: UpstreamRequirements,
         work: RequestEstimate,
         terms: RequestTerms,
         attempt: Callable[[Target, int], T],
     ) -> T:
-        """Make attempts until one succeeds, the deadline or budget ends, or it may not repeat."""
+        """Make attempts until one succeeds, a limit is reached or a repetition is not allowed."""
         policy = self._config.current.policy
         self._budget.note_request(read_boottime_seconds())
         failed: list[str] = []
@@ -254,7 +254,7 @@
             number += 1
             try:
                 self._guard.check(request_id)
-                target = self._admit(selection, work, terms, failed)
+                target = self._admit(requirements, work, terms, failed)
             except RefusedError as refusal:
                 raise _note_lost_attempt(refusal, lost_error) from None
             try:
@@ -269,13 +269,13 @@
 
     def _admit(
         self,
-        selection: UpstreamRequirements,
+        requirements: UpstreamRequirements,
         work: RequestEstimate,
         terms: RequestTerms,
         failed: list[str],
     ) -> Target:
         policy = self._config.current.policy
-        untried = excluding(selection, failed)
+        untried = excluding(requirements, failed)
         targets: list[Target] = []
 
         def take(candidates: tuple) -> bool:
@@ -290,10 +290,12 @@
             work,
             DeadlineAdmission(policy.urgent_reserve),
             limit,
-            find=lambda: self._table.candidates(untried) or self._table.candidates(selection),
+            find=lambda: self._table.candidates(untried) or self._table.candidates(requirements),
             take=take,
         )
-        self._queue.admit(selection.service.model or selection.service.name, admission_request)
+        self._queue.admit(
+            requirements.service.model or requirements.service.name, admission_request
+        )
         return targets[0]
 
     def _make_done(
@@ -320,7 +322,7 @@
         body = exchange.read_body()
         terms = read_terms(exchange, service, workspace, started)
         request_id = self._attempts.make_id()
-        selection = UpstreamRequirements(service)
+        requirements = UpstreamRequirements(service)
         work = RequestEstimate(1, 1, terms.priority)
 
         def try_call(target: Target, number: int) -> PlainResponse:
@@ -345,7 +347,7 @@
 
         tracked = self._track(request_id, make_fingerprint(workspace, exchange.path, body))
         with tracked, self._claim(service, terms), _WaitingThread(self, terms.priority):
-            answer = self._attempt_with_retries(request_id, selection, work, terms, try_call)
+            answer = self._attempt_with_retries(request_id, requirements, work, terms, try_call)
         self._guard.end(request_id, answered=True)
         self._metrics.count("accepted_total", service=name)
         self._metrics.count("ended_total", service=name, outcome="whole", in_time="yes")
@@ -354,7 +356,7 @@
 
     @contextmanager
     def _track(self, request_id: str, fingerprint: RequestFingerprint) -> Iterator[None]:
-        """Have the crash guard track the request, no longer if the body raises."""
+        """Have the crash guard track the request; stop that if the `with` block raises."""
         self._guard.begin(request_id, fingerprint)
         try:
             yield
@@ -380,7 +382,7 @@
             self._waiting_threads += 1
 
     def release_thread(self) -> None:
-        """Count a waiting thread less."""
+        """Count one waiting thread fewer."""
         with self._lock:
             self._waiting_threads -= 1
 
@@ -404,7 +406,8 @@
     if lost_error is None:
         return refusal
     return RefusedError(
-        Code.ANSWER_LOST, f"an attempt was lost: {lost_error}; then {refusal.message}"
+        Code.ANSWER_LOST,
+        f"the response of an attempt was lost: {lost_error}; then {refusal.message}",
     )
 
 
--- a/src/swifttrestle/internal/entry/idempotency.py
+++ b/src/swifttrestle/internal/entry/idempotency.py
@@ -67,7 +67,7 @@
             self._recorded_at[key] = now
 
     def _release(self, key: str, version: int) -> None:
-        """Remove an id; if the platform is unavailable, the id stays there and is refused."""
+        """Remove an id; if the platform is unavailable, it stays there and repeats are refused."""
         with self._lock:
             self._recorded_at.pop(key, None)
         if version:
@@ -83,9 +83,9 @@
         except PlatformUnavailableError as error:
             with self._lock:
                 self._recorded_at.pop(key, None)
-            message = f"the id could not be recorded: {error}"
+            message = f"the request id could not be recorded in the platform: {error}"
             raise RefusedError(Code.CLAIM_UNAVAILABLE, message, 1.0) from None
 
 
 def _repeated(key: str) -> RefusedError:
-    return RefusedError(Code.REPEATED_ID, f"{key} was used before")
+    return RefusedError(Code.REPEATED_ID, f"request id {key} was used before")
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -1,7 +1,7 @@
 """Relays a completion to its caller, from as many engines as it takes.
 
-The pump moves the bytes. When an engine disconnects, stalls or sends data of another attempt, the
-relay requests the tokens from the next offset on from another engine with the same model version,
+`StreamRelay` moves the bytes. When an engine disconnects, stalls or sends data of another attempt,
+`Relay` requests the tokens from the next offset on from another engine with the same model version,
 and the caller's response continues without a gap.
 """
 
@@ -34,7 +34,7 @@
 class RelayContext:
     """Components that all relays of one entry share."""
 
-    pump: StreamRelay
+    stream_relay: StreamRelay
     attempts: Attempts
     executor: ThreadPoolExecutor
     metrics: Metrics
@@ -62,9 +62,9 @@
         self._checker = self._make_checker()
 
     def start(self) -> None:
-        """Hand the attempt's stream to the pump."""
+        """Add the attempt's stream to the stream relay."""
         stream = self._attempt.stream
-        self._context.pump.add(
+        self._context.stream_relay.add(
             stream.sock, self._answer.sock, self._run(stream.first), self._finish,
             self._context.stall_seconds,
         )  # fmt: skip
@@ -98,7 +98,7 @@
                 raise UpstreamBrokenError("the stream ended without a finish event", sent=True)
 
     def _finish(self, error: BaseException | None) -> None:
-        """Handle the end of an attempt; runs in the pump's thread, so it must not block."""
+        """Handle the end of an attempt; runs in the stream relay's thread, so it must not block."""
         attempt = self._attempt
         tokens = self._checker.offset - attempt.call.offset
         self._context.metrics.count("tokens_relayed_total", tokens)
