--- a/tests/cover/test_entry_guard.py
+++ b/tests/cover/test_entry_guard.py
@@ -46,7 +46,7 @@
     crash(guard, closed)
     for request_id, act in (
         ("r1", guard.check),
-        ("r2", lambda fingerprint: guard.begin(fingerprint, FINGERPRINT)),
+        ("r2", lambda other_id: guard.begin(other_id, FINGERPRINT)),
     ):
         with pytest.raises(RefusedError) as refusal:
             act(request_id)
@@ -91,7 +91,7 @@
 def test_an_upstream_that_closes_its_port_shortly_after_its_connections_has_crashed(
     guard, monkeypatch
 ):
-    """Guards against a crash that is missed because the port of an exiting engine is still open."""
+    """Guards against missing a crash because the port of an exiting engine is still open."""
     server = socket.create_server(("127.0.0.1", 0))
     address = "{}:{}".format(*server.getsockname())
     # The port is closed between the first probe and the next one.
--- a/tests/cover/test_store_epochs.py
+++ b/tests/cover/test_store_epochs.py
@@ -79,7 +79,7 @@
     assert unpack_changes(pack_changes(changes)) == changes
 
 
-class ReturningStore(DirectStore):
+class RestoredStore(DirectStore):
     """A store that is restored from a copy after the first page of each list."""
 
     async def _call(self, method, path, body, seconds=WRITE_TIMEOUT_SECONDS):
@@ -91,7 +91,7 @@
 
 def test_a_list_with_pages_of_two_epochs_is_refused():
     async def check():
-        store = ReturningStore()
+        store = RestoredStore()
         for number in range(PAGE_ITEMS + 1):
             store.stand_in.put("others", f"o{number:03}", number)
         with pytest.raises(OldEpochError):
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -56,10 +56,12 @@
 # The bound until a revoked key is refused, and the longest intervals between confirmations.
 KEYS_BOUND_SECONDS = 5.0
 KEYS_SECONDS = KEYS_BOUND_SECONDS - revocation.CLOCK_MARGIN
-LONGEST_JITTER = 1 + freshness_monitor.JITTER_SHARE / 2
-READ_INTERVAL_SECONDS = KEYS_BOUND_SECONDS * freshness_monitor.READ_INTERVAL_SHARE * LONGEST_JITTER
+MAX_JITTER_FACTOR = 1 + freshness_monitor.JITTER_SHARE / 2
+READ_INTERVAL_SECONDS = (
+    KEYS_BOUND_SECONDS * freshness_monitor.READ_INTERVAL_SHARE * MAX_JITTER_FACTOR
+)
 QUERY_INTERVAL_SECONDS = (
-    KEYS_BOUND_SECONDS * freshness_monitor.QUERY_INTERVAL_SHARE * LONGEST_JITTER
+    KEYS_BOUND_SECONDS * freshness_monitor.QUERY_INTERVAL_SHARE * MAX_JITTER_FACTOR
 )
 QUERY_SECONDS = 2 * DATAGRAM_SECONDS
 WIDENED_SECONDS = KEYS_BOUND_SECONDS * freshness_monitor.WIDEN_AGE_SHARE
@@ -197,7 +199,7 @@
         QUARANTINE_SECONDS,
     ),
     "kept back: a host was cut off": (
-        # It is heard again and asks for crash records with its next report.
+        # Its peers receive its heartbeats again, and it requests crash records with the next one.
         HEARTBEAT_SECONDS + DATAGRAM_SECONDS + PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
         QUARANTINE_SECONDS,
     ),
--- a/tests/hosted/test_callers.py
+++ b/tests/hosted/test_callers.py
@@ -45,7 +45,7 @@
 
 def with_echo(test):
     def run(*args, **kwargs):
-        async def whole():
+        async def run_with_server():
             handler, connections = EchoHandler(), ConnectionSet()
             loop = asyncio.get_running_loop()
             server = await loop.create_server(
@@ -58,7 +58,7 @@
                 caller.close()
                 server.close()
 
-        asyncio.run(whole())
+        asyncio.run(run_with_server())
 
     run.__name__ = test.__name__
     return run
--- a/tests/hosted/test_upstreams.py
+++ b/tests/hosted/test_upstreams.py
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     "data",
     [FIRST, FIRST + SECOND, CHUNKED, CHUNKED + SECOND, FIRST + b"no answer", UNFRAMED],
-    ids=["one", "two", "chunked", "chunked and one", "noise behind", "unframed"],
+    ids=["one", "two", "chunked", "chunked and one", "trailing noise", "unframed"],
 )
 def test_bytes_after_a_response_do_not_become_part_of_it(data):
     assert asyncio.run(call(data)) == b"first"
--- a/tests/nocover/test_idempotency.py
+++ b/tests/nocover/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Calls with a may-not-repeat id that a caller sends again, to the same or another entry."""
+"""Repeated calls under one request id that must not run twice, to the same or another entry."""
 
 import pytest
 import yaml
@@ -66,17 +66,17 @@
     assert refused.error["code"] == 1017
     assert refused.error["ran"] == "not run"
     fleet.set_fault("platform", down=False)
-    again = wait_until(lambda: send(fleet, "n1", "by-platform", "in-outage").whole)
-    assert again
+    succeeded = wait_until(lambda: send(fleet, "n1", "by-platform", "in-outage").whole)
+    assert succeeded
     assert count_runs(fleet, "in-outage") == 1
 
 
 def test_a_call_whose_claim_got_no_answer_runs_at_most_once(fleet):
     fleet.set_fault("platform", lose_answers=1)
-    answer = send(fleet, "n1", "by-platform", "lost-claim")
+    first = send(fleet, "n1", "by-platform", "lost-claim")
     fleet.set_fault("platform", lose_answers=0)
-    again = send(fleet, "n2", "by-platform", "lost-claim")
-    assert answer.whole or again.error["code"] == 1016
+    second = send(fleet, "n2", "by-platform", "lost-claim")
+    assert first.whole or second.error["code"] == 1016
     assert count_runs(fleet, "lost-claim") <= 1
 
 
--- a/tests/nocover/test_live_entry.py
+++ b/tests/nocover/test_live_entry.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    folder = tmp_path_factory.mktemp("doors")
+    folder = tmp_path_factory.mktemp("live_entry")
     with Fleet(folder) as started:
         started.add_platform()
         engine = started.add_engine("e1", fencing="checked")
--- a/tests/nocover/test_stopping.py
+++ b/tests/nocover/test_stopping.py
@@ -14,7 +14,7 @@
 catch_stop_signals(stopping)
 
 def receive_signal():
-    signal.pthread_kill(threading.get_ident(), signal.{number})
+    signal.pthread_kill(threading.get_ident(), signal.{signal_name})
     threading.Event().wait()
 
 timer = threading.Timer(0.5, receive_signal)
@@ -24,9 +24,9 @@
 """
 
 
-@pytest.mark.parametrize("number", ["SIGTERM", "SIGINT"])
-def test_a_signal_that_is_delivered_to_any_thread_stops_the_process(number):
+@pytest.mark.parametrize("signal_name", ["SIGTERM", "SIGINT"])
+def test_a_signal_that_is_delivered_to_any_thread_stops_the_process(signal_name):
     # A main thread that waits without a timeout is not woken by a signal to another thread.
-    program = PROGRAM.format(number=number)
+    program = PROGRAM.format(signal_name=signal_name)
     done = subprocess.run([sys.executable, "-c", program], timeout=WAIT_SECONDS, check=False)
     assert done.returncode == 0
