--- a/src/swifttrestle/internal/policy/admission.py
+++ b/src/swifttrestle/internal/policy/admission.py
@@ -88,7 +88,7 @@
         if not candidates:
             return AdmissionResult(Decision.REFUSE, (), MIN_RETRY_AFTER_SECONDS)
         in_time = [c for c in candidates if predict_finish(c, work) <= seconds_left]
-        available = tuple(c for c in in_time if self.has_room(c, work.priority))
+        available = tuple(c for c in in_time if self.has_free_slot(c, work.priority))
         if available and not queued_ahead:
             return AdmissionResult(Decision.GO, available, 0.0)
         wait = self._predict_wait(candidates, work, queued_ahead)
@@ -97,7 +97,7 @@
             return AdmissionResult(Decision.REFUSE, (), self._clamp_retry_after(wait))
         return AdmissionResult(Decision.WAIT, available, self._clamp_retry_after(wait))
 
-    def has_room(self, candidate: Candidate, priority: str) -> bool:
+    def has_free_slot(self, candidate: Candidate, priority: str) -> bool:
         """Return whether an upstream has a slot for one more request of a priority."""
         if priority == URGENT:
             return candidate.inflight < candidate.slots * URGENT_SLOT_FACTOR
--- a/src/swifttrestle/internal/policy/capacity.py
+++ b/src/swifttrestle/internal/policy/capacity.py
@@ -23,10 +23,10 @@
 # A plan is lowered only once it exceeds the need by this factor: an upstream that is added again
 # starts with a cold cache and needs a role order.
 SCALE_DOWN_FACTOR = 1.25
-# Non-reclaimable upstreams to keep in each zone, since all its reclaimable ones can go at once.
+# Non-reclaimable upstreams to keep in each zone, which can lose all its reclaimable ones at once.
 MIN_NON_RECLAIMABLE_PER_ZONE = 1
-# Reclaimable upstreams are used only below this share of a non-reclaimable one's price: with three
-# zones, tolerating the loss of one takes half as many again.
+# Reclaimable upstreams are used only up to this share of a non-reclaimable one's price, since
+# tolerating the loss of a zone takes more of them.
 MAX_RECLAIMABLE_PRICE_SHARE = 0.6
 
 
@@ -66,7 +66,7 @@
     """Return how many engines the offered work needs, for prefill and decode together.
 
     Uses the highest learned prefill rate: estimates start low and rise with each observed prefill,
-    so that of a new engine is still too low.
+    so a new engine's is still too low.
     """
     prefill_rate = max((item.read_rate for item in engines), default=0.0) * PLANNED_SHARE
     if prefill_rate <= DEFAULT_READ_RATE * PLANNED_SHARE or demand == Demand():
@@ -132,7 +132,7 @@
 
 
 class ZoneRedundantCapacity(CapacityPolicy):
-    """Reclaimable upstreams that tolerate the loss of a zone's, plus some non-reclaimable ones."""
+    """Reclaimable upstreams, enough to lose those of one zone, plus some non-reclaimable ones."""
 
     def plan(
         self, scaling: Scaling, zones: Sequence[ZoneUpstreams], need: int
@@ -161,8 +161,8 @@
             ZoneUpstreams(item.zone, min(base, item.lasting), item.reclaimable) for item in zones
         ]
         missing = max(0, need - count_after_zone_loss(serving))
-        # Non-reclaimable upstreams start slower than most shortages last: orders new ones only
-        # where no zone can get reclaimable ones.
+        # Non-reclaimable upstreams take longer to start than most shortages last, so orders new
+        # ones only if no zone can get reclaimable ones.
         all_unavailable = all(item.reclaimable_unavailable for item in zones)
         spare = {
             item.zone: missing if all_unavailable else max(0, item.lasting - base) for item in zones
--- a/src/swifttrestle/internal/policy/ejection.py
+++ b/src/swifttrestle/internal/policy/ejection.py
@@ -56,7 +56,10 @@
             health.ejections = 0
 
     def note_use(self, name: str, now: float) -> None:
-        """Record that a request is sent; holds others back while it probes the upstream."""
+        """Record that a request is sent.
+
+        One that probes the upstream prevents further requests for PROBE_INTERVAL_SECONDS.
+        """
         health = self._health.get(name)
         if health is not None and health.is_probing(now):
             health.ejected_until = now + PROBE_INTERVAL_SECONDS
--- a/src/swifttrestle/internal/policy/fetching.py
+++ b/src/swifttrestle/internal/policy/fetching.py
@@ -1,7 +1,7 @@
 """Chooses the engine to copy the KV cache of a prompt's prefix from, in place of prefilling it.
 
-The KV caches of all engines serve as one. Where a source turns out not to have the prefix, the
-engine prefills it.
+All engines' KV caches thus act as one shared cache. If a source turns out not to have the prefix,
+the engine prefills it.
 """
 
 from collections.abc import Callable, Collection, Sequence
--- a/src/swifttrestle/internal/policy/hash_ring.py
+++ b/src/swifttrestle/internal/policy/hash_ring.py
@@ -1,4 +1,4 @@
-"""Consistent hashing of requests to the hosts that collect reports of crashes under them.
+"""Consistent hashing of requests to the hosts that collect reports of crashes during them.
 
 Without such owners, each host with a request open at a crashed upstream would have to notify all
 other hosts.
@@ -24,12 +24,12 @@
     def __init__(self, members: Iterable[Member]) -> None:
         """Build the ring of some members."""
         hashed = sorted((_hash_host(item.host), item.host, item) for item in members)
-        self._hashes = [place for place, _, _ in hashed]
+        self._hashes = [host_hash for host_hash, _, _ in hashed]
         self._members = [item for _, _, item in hashed]
 
-    def find(self, name: RequestFingerprint) -> list[Member]:
+    def find(self, fingerprint: RequestFingerprint) -> list[Member]:
         """Return the owners of a request."""
-        first = bisect_right(self._hashes, name.body)
+        first = bisect_right(self._hashes, fingerprint.body)
         count = min(OWNERS_PER_REQUEST, len(self._members))
         return [self._members[(first + step) % len(self._members)] for step in range(count)]
 
--- a/src/swifttrestle/internal/policy/home_zones.py
+++ b/src/swifttrestle/internal/policy/home_zones.py
@@ -16,7 +16,7 @@
 from swifttrestle.internal.state.prompt_cache import PromptPart
 
 # Minimum prefill time of a shared part, at the fastest engine, to book its prompt in the home
-# zone: booking across zones costs some milliseconds, and its bytes are billed.
+# zone: booking across zones adds latency, and its bytes are billed.
 MIN_SHARED_PREFILL_SECONDS = 0.005
 # Zones whose schedulers are asked before a host books locally: the home zone, and the next one by
 # hash where the home zone's scheduler does not answer. Each adds a timeout to the request.
@@ -28,9 +28,8 @@
 def count_engines_by_zone(engines: Iterable[Instance], zones: Collection[str]) -> dict[str, int]:
     """Return the number of a service's engines in each of `zones` that is scheduled on its own.
 
-    `zones` are those of one region: between regions a copy takes five times as long as between
-    zones, and a round trip tens of milliseconds. A zone with fewer than MIN_ENGINES_PER_GROUP
-    shares its engines with all others and is no home zone.
+    `zones` are those of one region: copies and round trips between regions are too slow. A zone
+    with fewer than MIN_ENGINES_PER_GROUP shares its engines with all others and is no home zone.
     """
     counts = Counter(item.record.zone for item in engines)
     return {zone: counts[zone] for zone in sorted(zones) if counts[zone] >= MIN_ENGINES_PER_GROUP}
--- a/src/swifttrestle/internal/policy/placement.py
+++ b/src/swifttrestle/internal/policy/placement.py
@@ -27,7 +27,7 @@
 MAX_DECODE_SHARE_FOR_PREFILL = 0.1
 # Share of a decode engine's slots reserved for the most urgent requests of its service.
 URGENT_RESERVE_SHARE = 0.06
-# Entries of the cache of ranks, some 3 MB.
+# Maximum number of cached ranks.
 RANK_CACHE_ENTRIES = 16384
 
 
@@ -89,9 +89,9 @@
 ) -> Instance | None:  # fmt: skip
     """Return the engine to prefill a prompt; None if none is predicted to be soon enough.
 
-    An engine must finish as early as one without any of the prompt cached would after a wait of
-    `longest_wait` seconds, and within `latest` seconds. `latest` is ignored where the prefill alone
-    takes longer at every engine.
+    The engine must be predicted to finish within `latest` seconds, and no later than it would after
+    a wait of `longest_wait` seconds without any of the prompt cached. `latest` is ignored where the
+    prefill alone takes longer at every engine.
 
     Parts that an engine has cached or fetches by `plan` need no prefill. Decode engines prefill
     too, at half the rate, while few of their slots are in use: prefill delays all their streams.
--- a/src/swifttrestle/internal/policy/quarantine.py
+++ b/src/swifttrestle/internal/policy/quarantine.py
@@ -12,34 +12,32 @@
 from swifttrestle.internal.state.crash_records import Crash, CrashRecord
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 
-# Crashes, without an answer since, from which a request is quarantined. One would quarantine all
-# requests that are open at an ordinary crash; few of them are open at a second one. See
-# `python -m bench quarantine`.
+# Number of crashes, without an answer since, at which a request is quarantined. With one, all
+# requests that were open at a crash would be; few of them are open at a second one.
 CRASHES_TO_QUARANTINE = 2
 # Seconds of the first quarantine: long enough for the crashed upstreams to restart.
 FIRST_QUARANTINE_SECONDS = 5.0
-# Seconds of each later one, after a crash of the request that was tried at the end of the one
-# before. Crashes during a quarantine do not count: they are of attempts that were in flight, or
-# of hosts that did not know of it yet.
+# Seconds of each later one, started by a crash during the trial after the previous one. Crashes
+# during a quarantine do not count: they are from attempts that were in flight, or from hosts that
+# did not know of the quarantine yet.
 LONG_QUARANTINE_SECONDS = 600.0
 # Hosts release a request at different times, spread over this share of its quarantine, so that
-# the first one finds out for the others whether it still crashes upstreams.
+# the first host's trial shows all others whether it still crashes upstreams.
 RELEASE_JITTER_SHARE = 0.5
-# Seconds after its last crash at which a request is forgotten: more than the longest quarantine, so
-# that the next crash after one counts.
+# Seconds after its last crash at which a request's record is removed: more than the longest
+# quarantine, so that a crash after it starts another one.
 CRASH_RETENTION_SECONDS = 1200.0
 
 # Seconds by which the time of a crash reported by a peer may be late. An answer also clears crashes
-# up to so much later than itself.
+# up to this much after itself.
 REPORT_DELAY_SECONDS = 0.2
-# Requests that are remembered, 600 bytes each with one crash. Beyond that those with the fewest
-# crashes are evicted first.
+# Maximum number of requests with a record; those with the fewest crashes are evicted first.
 MAX_REQUESTS = 4096
-# Share of them that is evicted at once, to amortize the search.
+# Share of these that is evicted at once, to amortize the search.
 EVICTED_SHARE = 0.125
-# Latest crashes that are remembered of one request.
+# Maximum number of crashes in a request's record; the latest ones are kept.
 MAX_CRASHES_PER_REQUEST = 4
-# Answers that are remembered, so that late reports of earlier crashes are ignored.
+# Maximum number of recorded answers, by which late reports of earlier crashes are ignored.
 MAX_CLEARANCES = 4096
 
 
@@ -99,15 +97,15 @@
         self._answered_at: dict[RequestFingerprint, float] = {}
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of requests with a crash record."""
         return len(self._histories)
 
     def knows_head(self, head: bytes) -> bool:
-        """Return whether any remembered request has this head in its fingerprint."""
+        """Return whether any request with a crash record has this head in its fingerprint."""
         return head in self._head_counts
 
     def note(self, fingerprint: RequestFingerprint, crashes: Iterable[Crash], now: float) -> bool:
-        """Record crashes under a request; return whether any of them is new."""
+        """Record crashes during a request; return whether any of them is new."""
         history = self._histories.get(fingerprint) or _History()
         answered_at = self._answered_at.get(fingerprint, float("-inf"))
         before = list(history.crashes)
@@ -173,7 +171,7 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget requests without a recent crash."""
+        """Remove the records of requests without a recent crash."""
         for fingerprint, history in list(self._histories.items()):
             if now - history.eviction_key[1] >= CRASH_RETENTION_SECONDS:
                 self._remove(fingerprint)
--- a/src/swifttrestle/internal/policy/rate_limits.py
+++ b/src/swifttrestle/internal/policy/rate_limits.py
@@ -16,14 +16,14 @@
 # Requests a second that are sent even to an upstream with a limit of zero, to learn when it is
 # raised.
 MIN_REQUESTS_PER_SECOND = 0.25
-# Longest time after which a refused host asks again in a small fleet. In a large one it is longer,
-# so that an owner gets at most so many queries a second. All hosts are notified when a limit
-# changes.
+# Maximum time after which a refused host asks again in a small fleet. In a large one it is longer,
+# so that an owner gets at most MAX_QUERIES_PER_SECOND. All hosts are notified when a limit changes.
 MAX_RETRY_SECONDS = 1.0
 MAX_QUERIES_PER_SECOND = 50.0
-# Owners of a limit: the second one is asked where the first does not answer.
+# Number of owners of a limit: the second one is asked if the first does not answer.
 OWNERS_PER_LIMIT = 2
-# Queries to each owner: after a single lost datagram two hosts would count at the same time.
+# Queries to an owner before the next one is asked. With one, a single lost datagram would make two
+# hosts count the same limit at once.
 ASK_ATTEMPTS = 2
 
 
@@ -31,7 +31,7 @@
     """Token bucket for the requests of all hosts to an upstream."""
 
     def __init__(self, now: float) -> None:
-        """Start empty: the former owner may have just granted a burst."""
+        """Start empty, since the previous owner may have just granted a burst."""
         self._tokens = 0.0
         self._updated_at = now
         self._refusals = 0
@@ -56,7 +56,7 @@
 
 
 def find_max_retry_seconds(hosts: int) -> float:
-    """Return the longest time in seconds after which a refused host asks again."""
+    """Return the maximum time in seconds after which a refused host asks again."""
     return max(MAX_RETRY_SECONDS, hosts / MAX_QUERIES_PER_SECOND)
 
 
--- a/src/swifttrestle/internal/policy/revocation.py
+++ b/src/swifttrestle/internal/policy/revocation.py
@@ -1,16 +1,16 @@
 """Decides whether to accept a caller's API key, by the age of the configuration in force.
 
 A revoked key must not be accepted for longer than a bound, even by a host that is suspended or
-cannot reach the store. A valid key is accepted for as long as that is certain, and a key that may
-be newer than the known configuration is not rejected for good.
+cannot reach the store, so keys are accepted only while the configuration was confirmed recently
+enough. A key that may be newer than the configuration is not rejected for good.
 """
 
 from enum import Enum
 
 # Seconds by which clocks may drift apart within the bound.
 CLOCK_MARGIN = 0.1
-# Age in seconds of the known configuration from which an unknown key may be newer than that: 401
-# is final for its caller.
+# Maximum age in seconds of the configuration at which an unknown key is rejected with 401, which is
+# final for its caller. The key may be newer than an older configuration.
 UNKNOWN_KEY_SECONDS = 1.5
 # Seconds after which a caller whose key could not be confirmed may retry: about the interval
 # between two confirmations.
@@ -26,10 +26,10 @@
 
 
 def check_key(known: bool, age: float, bound: float) -> Verdict:
-    """Check a key; `known` tells whether the configuration in force has it.
+    """Check a key; `known` is whether the configuration in force has it.
 
     `age` is the seconds from the last confirmation that this configuration is the newest to the
-    receipt of the request. `bound` is for how many seconds after its removal a key may be
+    receipt of the request. `bound` is the number of seconds for which a removed key may still be
     accepted; infinite where revocation has no bound.
     """
     if not is_fresh(age, bound):
--- a/src/swifttrestle/internal/policy/role_split.py
+++ b/src/swifttrestle/internal/policy/role_split.py
@@ -66,7 +66,7 @@
 def find_best_decode_count(
     engines: Sequence[Instance], current: int, demand: Demand, minimum: int | None = None
 ) -> int:
-    """Return the best number of decode engines; `current` where no change is worth it.
+    """Return the best number of decode engines; `current` where no change is worth its cost.
 
     `minimum` defaults to that for the number of engines.
     """
--- a/src/swifttrestle/internal/policy/roles.py
+++ b/src/swifttrestle/internal/policy/roles.py
@@ -83,9 +83,9 @@
         """Return the change that the current load calls for."""
         pool_load = measure_pool_load(loads)
         if pool_load.backlog > MIN_BACKLOG_SECONDS and pool_load.decode < BUSY_DECODE_SHARE:
-            return _find_change(loads, "prefill", policy.role_floor, "prefill waits")
+            return _find_change(loads, "prefill", policy.role_floor, "prefill backlog is high")
         if pool_load.backlog < MIN_BACKLOG_SECONDS:
-            return _find_change(loads, "mixed", policy.role_floor, "no prefill waits")
+            return _find_change(loads, "mixed", policy.role_floor, "no prefill backlog")
         return None
 
 
@@ -151,13 +151,15 @@
         ):
             if self._has_lasted("prefill", now, weight):
                 return _find_change(
-                    loads, "prefill", policy.role_floor, "prefill has waited", ready
+                    loads, "prefill", policy.role_floor, "prefill backlog persists", ready
                 )
         else:
             self._wanted_since.pop("prefill", None)
         if smoothed.backlog < MIN_BACKLOG_SECONDS / 2 and smoothed.decode > BUSY_DECODE_SHARE:
             if self._has_lasted("mixed", now, weight):
-                return _find_change(loads, "mixed", policy.role_floor, "decode is short", ready)
+                return _find_change(
+                    loads, "mixed", policy.role_floor, "decode is overloaded", ready
+                )
         else:
             self._wanted_since.pop("mixed", None)
         return None
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -7,11 +7,11 @@
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
 
-# Up to this number of hosts each books engines locally: hosts then exchange reports of open work
-# often enough.
+# Maximum number of hosts at which each books engines locally, since they exchange reports of open
+# work often enough.
 SMALL_FLEET_HOSTS = 16
 # Zone aggregators (representatives): hosts that watch the discovery list and receive heartbeats for
-# their whole zone. The loss of one is tolerated.
+# their zone. The loss of one is tolerated.
 REPRESENTATIVES_PER_ZONE = 2
 
 
--- a/src/swifttrestle/internal/policy/usage_windows.py
+++ b/src/swifttrestle/internal/policy/usage_windows.py
@@ -13,7 +13,7 @@
 # host, and early enough for the platform's deadline.
 COLLECT_SECONDS = 2.5
 # Seconds after its end from which a window that was never recorded is dropped: the platform
-# rejects reports so late.
+# rejects later reports.
 REPORT_DEADLINE_SECONDS = 30.0
 
 
@@ -40,7 +40,7 @@
     """Return the windows of `seconds` that are due to be recorded at the Unix time `now`.
 
     After the first report each window is due, even one without requests: otherwise it could not
-    be told from one whose report is missing.
+    be distinguished from one whose report is missing.
     """
     written = {item.window for item in reports}
     last = int((now - COLLECT_SECONDS) // seconds) - 1
--- a/src/swifttrestle/internal/policy/waiting.py
+++ b/src/swifttrestle/internal/policy/waiting.py
@@ -9,15 +9,15 @@
 
 from swifttrestle.internal.state.declared import Route
 
-# Callers abandon a stream after the longest of these without an event: so many seconds, latency
-# objectives and gap objectives (callers' protocol).
+# Callers abandon a stream after the longest of these times without an event: a minimum in seconds,
+# and multiples of the latency and gap objectives (callers' protocol).
 MIN_STREAM_TIMEOUT_SECONDS = 2.0
 STREAM_TIMEOUT_OBJECTIVES = 4.0
 STREAM_TIMEOUT_GAP_OBJECTIVES = 8.0
 # Share of the latency objective by which the prefill must be done, including waits; the rest is
 # for copying the KV cache, the first token and the network.
 PREFILL_DEADLINE_SHARE = 0.75
-# Share of the objective for which a request waits for an engine that becomes free sooner than
+# Share of the objective for which a request waits, in case an engine becomes free sooner than
 # predicted, before it counts as late.
 IN_TIME_WAIT_SHARE = 0.1
 # Share of the caller's timeout after which a late request that still waits is refused: the rest is
