--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -114,7 +114,7 @@
     """
     instance = plan.instance
     async with pool.acquire(instance.name, instance.record.address) as connection:
-        # It may have started to drain while the connection was established.
+        # The instance may have started to drain while the connection was established.
         if instance.leaving:
             raise UpstreamLeavingError(f"{instance.name} is draining")
         try:
@@ -130,11 +130,11 @@
         elif head.framing is Framing.LENGTH and head.length > MAX_BUFFERED_ANSWER_BYTES:
             await _stream_answer(ctx, head, body)
         else:
-            await _send_whole(ctx, head, body)
+            await _send_buffered(ctx, head, body)
         await pool.mark_reusable(connection, head)
 
 
-async def _send_whole(ctx: Context, head: ResponseHead, body: Body) -> None:
+async def _send_buffered(ctx: Context, head: ResponseHead, body: Body) -> None:
     content = await body.read_whole(max(head.length, MAX_BUFFERED_UNSIZED_ANSWER_BYTES))
     headers = strip_answer_headers(head.headers)
     ctx.note_first_byte()
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -19,7 +19,7 @@
 
 
 class Booker(ABC):
-    """Books engines for requests and takes them back."""
+    """Books engines for requests and releases them."""
 
     @abstractmethod
     async def book(self, request: BookingRequest) -> Booking | NoCapacity:
@@ -27,7 +27,7 @@
 
     @abstractmethod
     def end(self, booking: Booking, stage: Stage, outcome: Outcome, seconds: float) -> None:
-        """End one stage of a booking, which took so many seconds; each booking has both stages."""
+        """End one stage of a booking, which took `seconds`; each booking has both stages."""
 
     @abstractmethod
     def serve_queues(self) -> None:
@@ -83,7 +83,7 @@
     async def _wait_late(
         self, queue_key: tuple[str, bool], request: BookingRequest, started_at: float
     ) -> Booking | None:
-        """Wait for capacity that requests in time leave; return None if it is too late for that."""
+        """Wait for capacity that requests in time do not need; return None if it comes too late."""
         longest_wait = min(request.max_wait, request.left) - (_now() - started_at)
         queue = self._late_queues[queue_key]
         if (
@@ -104,12 +104,12 @@
         )
 
     def _shorten_prefill_wait(self, request: BookingRequest) -> BookingRequest:
-        """Return the request with the shorter wait at an engine that late ones may have."""
+        """Return the request with the shorter maximum wait for prefill of late requests."""
         longest_wait = request.longest_read_wait * LATE_PREFILL_WAIT_SHARE
         return replace(request, longest_read_wait=longest_wait, latest_read=math.inf)
 
     def book_now(self, request: BookingRequest) -> Booking | None:
-        """Book engines if some are free and no waiting request goes first, else return None."""
+        """Book engines if some are free and no waiting request has precedence, else return None."""
         queue = self._queues[request.service, self._finder.is_short(request)]
         return queue.take(lambda: self._finder.find(request), request.priority)
 
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -22,7 +22,7 @@
 # Cool-down where the requested one is malformed, and maximum cool-down.
 DEFAULT_COOL_DOWN_SECONDS = 1.0
 MAX_COOL_DOWN_SECONDS = 3600.0
-# Seconds after which the condition of an unlisted instance is dropped, and between checks.
+# Seconds after which the condition of an unlisted instance is dropped, and between checks for that.
 RETENTION_SECONDS = 600.0
 EXPIRY_INTERVAL_SECONDS = 30.0
 
@@ -41,7 +41,7 @@
         fleet.announced_leaving = self.is_leaving
         # Called with an instance and its rate limit when an answer changes that.
         self.announce_limit: Callable[[str, RateLimit], None] = do_nothing
-        # Called with an instance when an answer says that it is draining.
+        # Called with an instance when an answer states that it is draining.
         self.announce_leaving: Callable[[str], None] = do_nothing
         # Called when an upstream may accept requests again.
         self.on_room: Callable[[], None] = do_nothing
@@ -91,7 +91,7 @@
         if backpressure.leaving and self.apply_leaving(start, OWN_SOURCE):
             self.announce_leaving(start)
         if backpressure.cool_down != 0.0:
-            self._record_rest(start, backpressure.cool_down)
+            self._record_cool_down(start, backpressure.cool_down)
         elif start in self._conditions and self._conditions[start].note_taken(sent_at):
             self.on_room()
 
@@ -182,14 +182,14 @@
             self.announce_limit(start, limit)
 
     def _log_malformed(self, start: str, values: tuple[str, ...]) -> None:
-        """Log malformed header values, once, since every answer may have them."""
+        """Log malformed header values when they change, since every answer may have them."""
         self._metrics.count("upstream_odd_words_total", len(values))
         condition = self._conditions[start]
         if values != condition.unreadable:
             condition.unreadable = values
             log_event("upstream word not read", instance=start, words=values)
 
-    def _record_rest(self, start: str, seconds: float | None) -> None:
+    def _record_cool_down(self, start: str, seconds: float | None) -> None:
         now = _now()
         condition = self._conditions[start]
         if condition.cool_down_until <= now:
@@ -198,7 +198,7 @@
         cool_down = (
             DEFAULT_COOL_DOWN_SECONDS if seconds is None else min(seconds, MAX_COOL_DOWN_SECONDS)
         )
-        # Requests that it would refuse until then would use up the retry budget.
+        # Requests sent before then would be refused and use up the retry budget.
         condition.start_cool_down(now + cool_down)
         asyncio.get_running_loop().call_at(condition.cool_down_until, self.on_room)
 
--- a/src/swifttrestle/internal/forward/context.py
+++ b/src/swifttrestle/internal/forward/context.py
@@ -25,9 +25,9 @@
     """One request; `deadline` is in the loop's time.
 
     `urgent` is set if no route to the same service has a higher priority. `may_have_run` is set
-    once the request was sent to an upstream that has not stated that it did not run. `runs` counts
-    attempts that may have run, `failed_prefills` failed prefills, and `arrivals` all attempts that
-    were sent. `steps` are the decisions so far, for the request's log line.
+    once the request was sent to an upstream, unless that states that it did not run. `runs` counts
+    attempts that may have run, `failed_prefills` failed prefills, and `sent_attempts` all attempts
+    that were sent. `steps` are the decisions so far, for the request's log line.
     """
 
     request: IncomingRequest
@@ -45,7 +45,7 @@
     runs: int = 0
     failed_prefills: int = 0
     first_byte: float | None = None
-    arrivals: int = 0
+    sent_attempts: int = 0
     excluded: set[str] = field(default_factory=set)
     steps: list[str] = field(default_factory=list)
     # Expiry of rate limit permits in the loop's time, by instance.
@@ -57,7 +57,7 @@
     # Called at the first byte of the answer.
     on_first_byte: Callable[[], None] | None = None
     # Called with the workspace's name at the first byte of the answer.
-    on_run: Callable[[str], None] | None = None
+    count_request: Callable[[str], None] | None = None
     _cached_fingerprint: RequestFingerprint | None = None
 
     @property
@@ -111,8 +111,8 @@
         if self.first_byte is not None:
             return
         self.first_byte = self.age
-        if self.on_run is not None and self.workspace is not None:
-            self.on_run(self.workspace.name)
+        if self.count_request is not None and self.workspace is not None:
+            self.count_request(self.workspace.name)
         if self.on_first_byte is not None:
             self.on_first_byte()
 
--- a/src/swifttrestle/internal/forward/crash_detection.py
+++ b/src/swifttrestle/internal/forward/crash_detection.py
@@ -19,19 +19,19 @@
 # Seconds for which a failed request may still turn out to have been open at a crash. An upstream
 # that stops responding is reported by the discovery list only after several missed heartbeats.
 PENDING_SECONDS = 6.0
-# The same for a failure after which the address still accepted connections, as a supervisor that
-# holds the port does: it counts only if the upstream is restarted within this time.
+# The same for a failure after which the address still accepted connections, as with a supervisor
+# that holds the port: it counts only if the upstream is restarted within this time.
 OPEN_PORT_PENDING_SECONDS = 3.0
 # Seconds between the loss of a connection and the probe of the upstream's address: a process that
 # ends closes its connections before its port.
 PROBE_DELAY_SECONDS = 0.005
-# Seconds for which a repeat waits for probes.
+# Maximum seconds for which a retry waits for probes.
 PROBE_TIMEOUT_SECONDS = 0.05
-# Pending failures of one upstream.
+# Maximum number of pending failures of one upstream.
 MAX_PENDING_PER_UPSTREAM = 256
-# Upstreams with pending failures from which expired ones are removed.
+# Number of upstreams with pending failures at which expired failures are removed.
 MAX_UPSTREAMS_BEFORE_CLEANUP = 64
-# Request fingerprints in a log line.
+# Maximum number of request fingerprints in a log line.
 MAX_LOGGED_FINGERPRINTS = 20
 
 OnCrash = Callable[[Instance, Sequence[RequestFingerprint]], None]
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -37,20 +37,20 @@
         self._metrics = metrics
         # Quarantined requests that this host is trying now.
         self._trials: set[RequestFingerprint] = set()
-        # Returns whether no other upstream could take over for an instance, apart from some that
-        # have crashed.
+        # Returns whether no upstream could take over for an instance; those in the collection have
+        # crashed and do not count.
         self.is_last: Callable[[Instance, Collection[str]], bool] = _never
         # Asks whether a quarantined request may be tried; returns 0, or the seconds to wait.
         self.request_trial: Callable[[RequestFingerprint], Awaitable[float]] = _allow_trial
-        # Called with what this host found out, to notify its peers.
+        # Called with the crashes and clearances that this host detects, to notify its peers.
         self.announce_crash_records: RecordsCallback = do_nothing
         self.announce_clearance: ClearanceCallback = do_nothing
 
     async def check(self, ctx: Context) -> RequestFingerprint | None:
-        """Return a request's fingerprint if it was open at a crash; RefusedError if quarantined.
+        """Return a request's fingerprint if it was open at a crash; refuse a quarantined one.
 
         Requests that share the method, host, path and workspace of one that was open at a crash
-        wait here until their body is complete.
+        wait here until their body is complete. Raises RefusedError.
         """
         fingerprint = await self._find_suspect(ctx)
         if fingerprint is None:
@@ -109,10 +109,10 @@
     ) -> AsyncIterator[None]:
         """Guard one attempt at an upstream; raise RefusedError if it must not be made.
 
-        `is_final_answer` tells whether an attempt that ends without an error answers the request.
+        `is_final_answer` is whether an attempt that ends without an error answers the request.
         """
         if ctx.runs or ctx.failed_prefills or await self._find_suspect(ctx) is not None:
-            # The attempt before this one may just have crashed an upstream.
+            # The previous attempt may just have crashed an upstream.
             await self.detector.wait_for_probes()
         fingerprint = await self.check(ctx)
         self._protect_last(ctx, fingerprint, instance)
@@ -174,7 +174,7 @@
         return ctx.fingerprint
 
     async def _record_answer(self, ctx: Context) -> None:
-        # Crashes may have been reported while it ran, so looks again.
+        # Crashes may have been reported while the request ran.
         fingerprint = await self._find_suspect(ctx) if ctx.request.body.complete else None
         if fingerprint is not None:
             self.clear_crashes(fingerprint)
--- a/src/swifttrestle/internal/forward/engine_finder.py
+++ b/src/swifttrestle/internal/forward/engine_finder.py
@@ -11,14 +11,14 @@
 from swifttrestle.internal.state.declared import Role
 from swifttrestle.internal.state.fleet import Instance, OpenWork
 
-# Share of the time to the deadline for which a request whose prefill failed may wait again: a late
-# answer serves its caller better than a late refusal.
+# Share of the time to the deadline for which a request may wait for engines after its prefill
+# failed: a late answer is better for its caller than a late refusal.
 RETRY_WAIT_SHARE = 0.3
-# A decode engine prefills a prompt itself if that takes no longer than this, in seconds: less than
-# the round trip and the copy of the KV cache.
+# Maximum prefill time of a prompt that a decode engine prefills itself: less than the round trip to
+# a prefill engine and the copy of the KV cache.
 MAX_DIRECT_PREFILL_SECONDS = 0.008
-# Longest wait at another zone's engine, as a share of that in the own zone: its load is known less
-# precisely, and its cache is less likely to have the shared parts.
+# Maximum wait at another zone's engine, as a share of that in the request's zone: its load is known
+# less precisely, and its cache is less likely to have the shared parts.
 OTHER_ZONE_WAIT_SHARE = 0.5
 
 
@@ -140,7 +140,7 @@
 
 
 def is_short_prompt(tokens: int, engines: list[Instance]) -> bool:
-    """Return whether a decode engine prefills so many tokens as fast as handing them over."""
+    """Return whether a decode engine prefills so many tokens faster than a prefill engine would."""
     read_rates = [item.effective_read_rate for item in engines if item.role is Role.DECODE]
     return bool(read_rates) and tokens / max(read_rates) <= MAX_DIRECT_PREFILL_SECONDS
 
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -40,7 +40,7 @@
 # Maximum prefill and decode attempts of one request, the first ones included.
 MAX_PREFILLS = 2
 MAX_DECODE_ATTEMPTS = 3
-# Maximum bookings of one request whose engines then accepted no requests.
+# Maximum bookings of one request whose engines turn out to accept no requests.
 MAX_HELD_BOOKINGS = 8
 # Share of the time to the deadline that a repeatable request waits at an engine for its first
 # token.
@@ -51,7 +51,7 @@
 MAX_RETRY_AFTER_SECONDS = 3.0
 # Callers honour Retry-After up to a third of the time to their deadline; this stays below that.
 MAX_RETRY_AFTER_SHARE = 0.32
-# Lower end, as a share of the longest Retry-After, of the range that it is drawn from.
+# Retry-After is drawn between this share of its maximum and the maximum.
 MIN_RETRY_AFTER_FRACTION = 0.6
 
 
@@ -92,7 +92,10 @@
         )
 
     async def _prefill(self, ctx: Context, booking: Booking) -> KvHandle | None:
-        """Have the prompt prefilled by another engine if one is booked; raise UpstreamHeldError."""
+        """Have the prompt prefilled by another engine if one is booked.
+
+        Raises UpstreamHeldError if a booked engine accepts no requests at the moment.
+        """
         if booking.direct:
             await self._state.permits.reserve(ctx, booking.decoder)
             return None
@@ -161,7 +164,7 @@
         tokens = 0 if is_short_prompt(tokens, engines) else tokens
         self._state.demand.note_arrival(ctx.service.name, ctx.route.name, tokens, now)
 
-    def _refuse_for_load(self, ctx: Context, no_room: NoCapacity) -> RefusedError:
+    def _refuse_for_load(self, ctx: Context, no_capacity: NoCapacity) -> RefusedError:
         engines = self._state.fleet.list_service(ctx.service.name)
         if not engines:
             return ctx.refuse(
@@ -170,24 +173,24 @@
                 NO_ENGINE_RETRY_AFTER_SECONDS,
             )
         wait_seconds = self._find_wait_seconds(ctx)
-        retry = self._choose_retry_after(ctx, max(wait_seconds, no_room.next_free_seconds))
+        retry = self._choose_retry_after(ctx, max(wait_seconds, no_capacity.next_free_seconds))
         reason = (
-            f"no engine is free: {no_room.waiting} requests waiting, {len(engines)} engines, "
-            f"first engine free in {no_room.next_free_seconds * 1000:.0f} ms"
+            f"no engine is free: {no_capacity.waiting} requests waiting, {len(engines)} engines, "
+            f"first engine free in {no_capacity.next_free_seconds * 1000:.0f} ms"
         )
         return ctx.refuse(Code.UPSTREAMS_HELD if wait_seconds else Code.OVERLOADED, reason, retry)
 
     def _choose_retry_after(self, ctx: Context, next_free_seconds: float) -> float:
         """Return Retry-After, in seconds, for a caller that was refused for load.
 
-        Load peaks last for some time, so this is close to the longest time that the caller honours,
-        with jitter so that callers do not return all at once.
+        Load peaks last for some time, so this is close to the maximum that the caller honours, with
+        jitter so that callers do not retry all at once.
         """
         longest_wait = min(MAX_RETRY_AFTER_SHARE * ctx.seconds_left, MAX_RETRY_AFTER_SECONDS)
-        spread = (
+        jitter_factor = (
             MIN_RETRY_AFTER_FRACTION + (1 - MIN_RETRY_AFTER_FRACTION) * self._state.rng.random()
         )
-        return max(MIN_RETRY_AFTER_SECONDS, next_free_seconds, longest_wait * spread)
+        return max(MIN_RETRY_AFTER_SECONDS, next_free_seconds, longest_wait * jitter_factor)
 
     # Decode.
 
@@ -309,8 +312,8 @@
         self._state.ejector.note_success(decoder.name, now)
 
     def _max_event_gap(self, ctx: Context) -> float:
-        # Callers abandon a stream after two seconds or four objectives; half of that leaves time to
-        # resume it elsewhere.
+        # Half of the time after which callers abandon a stream (see `find_caller_timeout`), so that
+        # there is time to resume it elsewhere.
         return max(1.0, 2 * ctx.route.objective, 4 * ctx.route.gap_objective)
 
 
--- a/src/swifttrestle/internal/forward/events.py
+++ b/src/swifttrestle/internal/forward/events.py
@@ -25,38 +25,38 @@
         self.started = False
 
     async def relay(self, ctx: Context, head: ResponseHead, body: Body) -> None:
-        """Relay one upstream's stream to its end; raise UpstreamBrokenError."""
+        """Relay one upstream's stream to its end; raise UpstreamBrokenError if it is cut."""
         if not self.started:
             self.started = True
             await ctx.reply.start(
                 head.status, strip_answer_headers(head.headers), Framing.CHUNKED, 0
             )
         if self._resumable:
-            await self._relay_whole_events(ctx, body)
+            await self._relay_complete_events(ctx, body)
         else:
             async for chunk in body.chunks():
                 ctx.note_first_byte()
                 await ctx.reply.send(chunk)
         await ctx.reply.end()
 
-    async def _relay_whole_events(self, ctx: Context, body: Body) -> None:
+    async def _relay_complete_events(self, ctx: Context, body: Body) -> None:
         pending = b""
         async for chunk in body.chunks(self._max_gap):
             pending += chunk
             end = pending.rfind(_END_OF_EVENT)
             if end >= 0:
-                whole = pending[: end + len(_END_OF_EVENT)]
+                complete_events = pending[: end + len(_END_OF_EVENT)]
                 pending = pending[end + len(_END_OF_EVENT) :]
-                self._record_ids(whole)
+                self._record_ids(complete_events)
                 ctx.note_first_byte()
-                await ctx.reply.send(whole)
+                await ctx.reply.send(complete_events)
         if pending:
             raise UpstreamBrokenError(
                 f"the stream ended with {len(pending)} bytes of an incomplete event", sent=True
             )
 
-    def _record_ids(self, whole: bytes) -> None:
-        for line in whole.split(b"\n"):
+    def _record_ids(self, complete_events: bytes) -> None:
+        for line in complete_events.split(b"\n"):
             if line.startswith(_ID_FIELD):
                 self.last_event = line[len(_ID_FIELD) :].strip()
                 self.events += 1
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -40,9 +40,9 @@
 MAX_EJECTED_SHARE = 0.5
 # Seconds over which an instance ramps up after its ejection.
 RAMP_UP_SECONDS = 2.0
-# Seconds for which data that an instance sent before its end may still arrive.
+# Seconds for which data that an instance sent before it stopped may still arrive.
 LATE_DATA_SECONDS = 0.25
-# Prompts that wait to be reported to peers; older ones are dropped.
+# Maximum number of prompts that wait to be reported to peers; the oldest are dropped.
 MAX_UNREPORTED_PROMPTS = 64
 
 
@@ -105,7 +105,7 @@
         """Surround each request that is sent to an upstream, prefill included.
 
         Raises RefusedError for a quarantined request, and UpstreamHeldError where the upstream
-        accepts no requests at the moment. `is_final_answer` tells whether an attempt that ends
+        accepts no requests at the moment. `is_final_answer` is whether an attempt that ends
         without an error answers the request.
         """
         async with self.guard.attempt(ctx, instance, is_final_answer=is_final_answer):
@@ -116,7 +116,7 @@
     def list_usable(self, service: str, now: float, urgent: bool = False) -> list[Instance]:
         """Return a service's instances that accept requests and are not ejected.
 
-        If all that accept requests are ejected, returns them all the same.
+        If all that accept requests are ejected, returns these instead.
         """
         listed = [
             item
@@ -164,13 +164,13 @@
             self.sent_prompts.append(prompt)
 
     def note_refusal(self, instance: Instance, now: float) -> None:
-        """Avoid an instance for a moment after a refusal."""
+        """Avoid an instance for REFUSAL_BACKOFF_SECONDS after a refusal."""
         instance.refused_until = now + REFUSAL_BACKOFF_SECONDS
 
     def remove_replaced(self, instance: Instance) -> None:
         """Remove an instance that another one has replaced at its address."""
         if instance.leaving:
-            # Known already; its open requests continue.
+            # Already known to drain; its open requests continue.
             return
         if self.fleet.instances.get(instance.name) is instance:
             self.fleet.remove(instance.record.instance)
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -34,7 +34,7 @@
 # Retry-After, in seconds, of a host without a configuration, and of a stopping one.
 UNCONFIGURED_RETRY_SECONDS = 0.5
 STOPPING_RETRY_SECONDS = 0.05
-# Age that the log shows for a discovery list that was never confirmed.
+# Maximum age of the discovery list in the log, also shown if it was never confirmed.
 MAX_LOGGED_AGE_SECONDS = 9999.0
 # Seconds before the deadline at which a request is cancelled, so that the error arrives in time.
 ANSWER_MARGIN_SECONDS = 0.01
@@ -55,7 +55,7 @@
         """Book engines by `booker`; read the route table in force by `find_table`.
 
         `find_confirmed_at` returns when that table was last confirmed to be the newest version, and
-        `revocation_bound` is for how many seconds after its removal a key may be accepted.
+        `revocation_bound` is the number of seconds for which a removed key may still be accepted.
         `count_request` is called with the workspace of each request when its answer begins.
         """
         self._state = state
@@ -126,7 +126,7 @@
             table.configuration.version,
             urgent=table.is_urgent(route, service.name, workspace),
             workspace=workspace,
-            on_run=self._count_request,
+            count_request=self._count_request,
         )
 
     def _find_workspace(
--- a/src/swifttrestle/internal/forward/plain.py
+++ b/src/swifttrestle/internal/forward/plain.py
@@ -71,7 +71,7 @@
             budget_charged = False
 
     def _refuse(self, ctx: Context, reason: str, now: float) -> RefusedError:
-        """Return the error for a request that no instance may be tried for."""
+        """Return the error for a request that may be sent to no further instance."""
         wait_seconds = self._state.find_wait_seconds(
             ctx.service.name, now, (Role.NONE,), ctx.urgent
         )
@@ -85,13 +85,13 @@
         return pick_plain_instance(usable, self._state.zone, ctx.excluded, now, self._state.rng)
 
     def _may_attempt(self, ctx: Context, now: float) -> bool:
-        if ctx.arrivals == 0:
+        if ctx.sent_attempts == 0:
             return True
         if ctx.may_have_run and not ctx.repeatable:
             return False
         if ctx.runs >= ctx.route.max_attempts:
             return False
-        if ctx.arrivals - ctx.runs >= MAX_REJECTIONS or ctx.reply.started:
+        if ctx.sent_attempts - ctx.runs >= MAX_REJECTIONS or ctx.reply.started:
             return False
         return self._state.budgets.find(ctx.service.name).take(now)
 
@@ -111,7 +111,7 @@
         self._state.ejector.note_use(instance.name, now)
         try:
             async with self._state.attempt(ctx, instance):
-                ctx.arrivals += 1
+                ctx.sent_attempts += 1
                 await make_attempt(ctx, self._state.pool, plan, relay)
             self._state.ejector.note_success(instance.name, asyncio.get_running_loop().time())
         finally:
--- a/src/swifttrestle/internal/forward/prefill.py
+++ b/src/swifttrestle/internal/forward/prefill.py
@@ -126,7 +126,7 @@
         """Record a failed prefill; raise RefusedError if it may not be repeated.
 
         A rejection itself counts against the retry budget, and the attempt after it does not. After
-        any other failure the next attempt counts.
+        any other failure, the next attempt counts.
         """
         ctx.failed_prefills += 1
         ctx.excluded.add(reader.name)
@@ -196,6 +196,6 @@
 
 
 def find_source_address(booking: Booking) -> tuple[str, int] | None:
-    """Return the address to fetch KV cache from; None if the engine prefills all of the rest."""
+    """Return the address to fetch KV cache from; None if there is nothing to fetch."""
     source = booking.source
     return None if source is None or source.leaving else source.record.address
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -155,7 +155,7 @@
                 self._fallback_buckets, start, urgent, len(self._list_members())
             )
         else:
-            # Unused tokens must not accumulate for the next time without an owner.
+            # Unused tokens must not accumulate until no owner can be reached again.
             self._fallback_buckets.pop(start, None)
         if seconds > 0:
             self._conditions.deny(start, seconds, urgent)
@@ -274,7 +274,7 @@
         self._announce_twice(lambda: LeavingUpdate(start, relay=True))
 
     def _announce_twice(self, make_message: Callable[[], RateLimitUpdate | LeavingUpdate]) -> None:
-        """Announce what `make_message` returns, now and again after REPEAT_SECONDS."""
+        """Announce what `make_message` returns, now and after REPEAT_SECONDS."""
         self._announce(make_message())
         asyncio.get_running_loop().call_later(
             REPEAT_SECONDS, lambda: self._announce(make_message())
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -5,7 +5,7 @@
 zone, the scheduler, therefore books the zone's engines for all hosts. A prompt with a long shared
 part goes to the scheduler of the part's home zone (see `policy.home_zones`), any other one to that
 of its caller's zone. All hosts find the same scheduler by rendezvous hashing over the live hosts.
-Its state need not survive it, so another one can take over at any time.
+A scheduler keeps no state that must survive it, so another one can take over at any time.
 
 A host that gets no reply asks the scheduler of the next zone, and then books locally, as in a small
 fleet.
@@ -53,12 +53,12 @@
 # Consecutive missing replies after which a scheduler is not asked for some seconds.
 MISSED_REPLIES_TO_SUSPEND = 2
 SUSPEND_SECONDS = 0.5
-# Seconds beyond its longest wait after which a waiting request is abandoned here as well.
+# Seconds after a request's maximum wait at which this host stops waiting for the scheduler.
 GRACE_SECONDS = 0.05
 # Seconds for which the home zones of a service are cached. A change of engines in between moves
 # few parts, and the zone's scheduler knows of it at once.
 HOME_ZONES_TTL_SECONDS = 1.0
-# Bits of the random number from which a host numbers its queries.
+# Bits of the random number of a host's first query.
 NUMBER_BITS = 40
 
 
@@ -88,8 +88,8 @@
     ) -> None:
         """Book through `local` where no other host schedules.
 
-        `is_in_same_region` tells whether a zone is in this host's region: only such zones are home
-        zones.
+        `is_in_same_region` returns whether a zone is in this host's region; only such zones are
+        home zones.
         """
         self._is_in_same_region = is_in_same_region
         self._local = local
@@ -119,15 +119,15 @@
             placed = replace(request, zone=zone)
             if scheduler.host == self._host:
                 return await self._local.book(placed)
-            began = _now()
+            asked_at = _now()
             found = await self._ask(scheduler, placed)
             if found is not None:
                 return found
-            request = _reduce_times(request, _now() - began)
+            request = _reduce_times(request, _now() - asked_at)
         return await self._local.book(request)
 
     async def _ask(self, scheduler: Member, request: BookingRequest) -> Booking | NoCapacity | None:
-        """Return the scheduler's reply; None if there is none that can be used."""
+        """Return the scheduler's reply; None if it did not reply or its engines cannot be used."""
         number = next(self._numbers)
         answers: asyncio.Queue[Message] = asyncio.Queue()
         self._pending[number] = answers
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's side of shared bookings: books engines for the other hosts of a zone."""
+"""The scheduler's side of scheduled bookings: books engines for the other hosts of a zone."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -64,29 +64,31 @@
             await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
             self.drop_expired(_now())
 
-    def serve(self, host: str, ip: str, ask: BookingQuery) -> None:
-        """Reply to a host with booked engines, or that its request waits.
+    def serve(self, host: str, ip: str, query: BookingQuery) -> None:
+        """Reply to a host with booked engines, or with a notice that its request waits.
 
         Raises FrameError for a duplicate query.
         """
-        reference = BookingReference(host, ask.number)
+        reference = BookingReference(host, query.number)
         if reference in self._waiting or reference in self._bookings:
-            raise FrameError(f"booking {ask.number} of host {host} was requested twice")
-        booking = self._local.book_now(ask.request)
+            raise FrameError(f"booking {query.number} of host {host} was requested twice")
+        booking = self._local.book_now(query.request)
         if booking is not None:
-            self._grant(reference, ip, ask.request, booking)
+            self._grant(reference, ip, query.request, booking)
             return
-        self._send(ip, Wait(ask.number))
-        task = asyncio.ensure_future(self._serve_waiting(reference, ip, ask))
+        self._send(ip, Wait(query.number))
+        task = asyncio.ensure_future(self._serve_waiting(reference, ip, query))
         self._waiting[reference] = task
         task.add_done_callback(lambda _: self._waiting.pop(reference, None))
 
-    async def _serve_waiting(self, reference: BookingReference, ip: str, ask: BookingQuery) -> None:
-        found = await self._local.book(ask.request)
+    async def _serve_waiting(
+        self, reference: BookingReference, ip: str, query: BookingQuery
+    ) -> None:
+        found = await self._local.book(query.request)
         if isinstance(found, NoCapacity):
-            self._send(ip, Refuse(ask.number, found.waiting, found.next_free_seconds))
+            self._send(ip, Refuse(query.number, found.waiting, found.next_free_seconds))
             return
-        self._grant(reference, ip, ask.request, found)
+        self._grant(reference, ip, query.request, found)
 
     def _grant(
         self, reference: BookingReference, ip: str, request: BookingRequest, booking: Booking
@@ -147,13 +149,13 @@
                 pass
 
     def drop_expired(self, now: float) -> None:
-        """Drop the bookings of lost hosts, and expired ones."""
+        """Drop expired bookings, and those of hosts that are not listed."""
         members = {member.host for member in self._list_members()}
         for reference, host_booking in list(self._bookings.items()):
-            lost = host_booking.host not in members
-            if host_booking.prefilling and (lost or now > host_booking.prefill_expires_at):
+            is_unlisted = host_booking.host not in members
+            if host_booking.prefilling and (is_unlisted or now > host_booking.prefill_expires_at):
                 self._end_stage(host_booking, Stage.READ, Outcome.CANCELLED, 0.0)
-            if host_booking.decoding and (lost or now > host_booking.decode_expires_at):
+            if host_booking.decoding and (is_unlisted or now > host_booking.decode_expires_at):
                 self._end_stage(host_booking, Stage.DECODE, Outcome.CANCELLED, 0.0)
             if not host_booking.prefilling and not host_booking.decoding:
                 del self._bookings[reference]
