--- a/tests/cover/test_bookings.py
+++ b/tests/cover/test_bookings.py
@@ -39,7 +39,7 @@
 
 
 class Network:
-    """Datagrams between hosts of one event loop; `lose` tells which are lost."""
+    """Datagrams between hosts of one event loop; drops those for which `lose` returns true."""
 
     def __init__(self):
         self.receivers, self.lose, self.sent = {}, lambda message: False, []
@@ -71,13 +71,13 @@
         for engine, role in engines:
             fleet.put(UpstreamRecord(engine, "s", ("127.0.0.1", 1), "a", 10, False, role))
         budgets = RetryBudgets(0.2, 50, 10)
-        self.parts = GatewayState("a", fleet, budgets, Metrics(), random.Random(seed))
+        self.state = GatewayState("a", fleet, budgets, Metrics(), random.Random(seed))
         self.booker = ScheduledBooker(
-            LocalBooker(self.parts), self.parts, network.socket(name), name, lambda: members
+            LocalBooker(self.state), self.state, network.socket(name), name, lambda: members
         )
 
     def open_work(self):
-        return sum(item.own.requests for item in self.parts.fleet.instances.values())
+        return sum(item.own.requests for item in self.state.fleet.instances.values())
 
 
 TWO_ENGINES = (("p", Role.PREFILL), ("d", Role.DECODE))
@@ -88,7 +88,7 @@
     monkeypatch.setattr(scheduled_booking, "is_large_fleet", lambda _: True)
     monkeypatch.setattr(scheduled_booking, "REPLY_TIMEOUT_SECONDS", answer_seconds)
 
-    async def whole():
+    async def run():
         network = Network()
         members = [Member(name, name, "a") for name in names]
         hosts = {name: Host(network, name, members, engines) for name in names}
@@ -96,7 +96,7 @@
         others = [host for name, host in hosts.items() if name != first]
         await act(network, members, hosts[first], *others)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def end_both_stages(host, booking):
@@ -127,9 +127,9 @@
     async def act(_, members, scheduler, *others):
         asked = [host.booker.book(REQUEST) for host in others for _ in range(5)]
         found = await asyncio.gather(*asked)
-        reader = scheduler.parts.fleet.instances["p"]
-        own = REQUEST.tokens / reader.effective_read_rate
-        assert 0 < reader.predict_wait() <= REQUEST.longest_read_wait + own
+        reader = scheduler.state.fleet.instances["p"]
+        own_seconds = REQUEST.tokens / reader.effective_read_rate
+        assert 0 < reader.predict_wait() <= REQUEST.longest_read_wait + own_seconds
         assert sum(isinstance(item, Booking) for item in found) == 2
         refused = [item.waiting for item in found if isinstance(item, NoCapacity)]
         assert sorted(refused) == [0] + [1] * 7
@@ -155,7 +155,7 @@
         held = [await other.booker.book(REQUEST) for _ in range(2)]
         waiting = asyncio.ensure_future(third.booker.book(REQUEST))
         await run_pending_tasks()
-        # A prompt takes three seconds, and a request waits for one at most.
+        # A prompt takes three seconds, and a request waits one second at most.
         refused = asyncio.ensure_future(third.booker.book(REQUEST))
         await run_pending_tasks()
         assert refused.done()
@@ -213,18 +213,18 @@
 
 
 @pytest.mark.parametrize(
-    ("later", "lost", "open_work"), [(0.1, False, 2), (30, False, 0), (0.1, True, 0)]
+    ("seconds", "host_lost", "open_work"), [(0.1, False, 2), (30, False, 0), (0.1, True, 0)]
 )
 def test_a_booking_whose_end_is_lost_expires_with_its_request_or_host(
-    monkeypatch, later, lost, open_work
+    monkeypatch, seconds, host_lost, open_work
 ):
     async def act(network, members, scheduler, other, _):
         booking = await other.booker.book(REQUEST)
         network.lose = lambda message: isinstance(message, End)
         end_both_stages(other, booking)
-        if lost:
+        if host_lost:
             members[:] = [item for item in members if item.host != other.booker._host]
-        scheduler.booker._scheduler.drop_expired(asyncio.get_running_loop().time() + later)
+        scheduler.booker._scheduler.drop_expired(asyncio.get_running_loop().time() + seconds)
         assert scheduler.open_work() == open_work
 
     run_hosts(act, monkeypatch)
@@ -262,7 +262,7 @@
 
     async def act(_, members, scheduler, other, third):
         chosen = (await other.booker.book(REQUEST)).reader
-        other.parts.note_refusal(chosen, asyncio.get_running_loop().time())
+        other.state.note_refusal(chosen, asyncio.get_running_loop().time())
         assert (await other.booker.book(REQUEST)).reader is not chosen
 
     run_hosts(act, monkeypatch, engines=engines)
@@ -274,8 +274,8 @@
 
     async def act(_, members, scheduler, other, third):
         for name in ("d", "e"):
-            record = other.parts.fleet.instances[name].record
-            other.parts.fleet.put(replace(record, leaving=True))
+            record = other.state.fleet.instances[name].record
+            other.state.fleet.put(replace(record, leaving=True))
             found = await other.booker.book(REQUEST)
             if isinstance(found, Booking):
                 assert not found.decoder.record.leaving
@@ -289,14 +289,14 @@
 
 def test_a_grant_of_an_engine_that_has_just_started_to_drain_is_released(monkeypatch):
     async def act(network, members, scheduler, other, third):
-        record = other.parts.fleet.instances["d"].record
+        record = other.state.fleet.instances["d"].record
 
-        def leave(message):
+        def start_to_drain(message):
             if isinstance(message, Grant):
-                other.parts.fleet.put(replace(record, leaving=True))
+                other.state.fleet.put(replace(record, leaving=True))
             return False
 
-        network.lose = leave
+        network.lose = start_to_drain
         assert isinstance(await other.booker.book(REQUEST), NoCapacity)
         await run_pending_tasks()
         assert scheduler.open_work() == 0
--- a/tests/cover/test_ejection_trials.py
+++ b/tests/cover/test_ejection_trials.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("failures", "out"),
+    ("failures", "ejected"),
     [
         ((), False),
         ((BROKEN, BROKEN), False),
@@ -32,8 +32,8 @@
         ((SILENT, BROKEN), True),
     ],
 )
-def test_an_unreachable_upstream_is_ejected_after_fewer_failures(failures, out):
-    assert make_ejector(*failures).is_ejected("a", 100.0) is out
+def test_an_unreachable_upstream_is_ejected_after_fewer_failures(failures, ejected):
+    assert make_ejector(*failures).is_ejected("a", 100.0) is ejected
 
 
 def test_one_request_at_a_time_probes_an_upstream_after_its_ejection():
--- a/tests/cover/test_fetching.py
+++ b/tests/cover/test_fetching.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kept", "zone", "traits", "tokens", "seconds"),
+    ("cached_tokens", "zone", "traits", "tokens", "seconds"),
     [
         (0, "a", TRAITS, 8000, 0.008),
         (0, "b", TRAITS, 8000, 0.016),
@@ -47,9 +47,9 @@
         (0, "a", None, None, None),
     ],
 )
-def test_a_part_is_fetched_if_that_saves_time(kept, zone, traits, tokens, seconds):
+def test_a_part_is_fetched_if_that_saves_time(cached_tokens, zone, traits, tokens, seconds):
     sources = list_sources([make_engine("d", zone, read=(SHARED,))], PROMPT, ())
-    fetch = plan_fetch(make_engine("r"), kept, sources, traits)
+    fetch = plan_fetch(make_engine("r"), cached_tokens, sources, traits)
     assert (fetch.tokens if fetch else None) == tokens
     assert (fetch.seconds if fetch else None) == (pytest.approx(seconds) if seconds else None)
 
@@ -106,16 +106,16 @@
 def run_booker(act, names="pq"):
     """Run `act` with the state and the booker of one host with two prefill engines."""
 
-    async def whole():
+    async def run():
         fleet = Fleet()
         for name in names:
             fleet.put(UpstreamRecord(name, "s", (name, 1), "a", 40, False, Role.PREFILL))
         fleet.put(UpstreamRecord("d", "s", ("d", 1), "a", 40, False, Role.DECODE))
         fleet.traits["s"] = TRAITS
-        parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
-        await act(parts, LocalBooker(parts))
+        state = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
+        await act(state, LocalBooker(state))
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def make_request(own, **changes):
@@ -125,7 +125,7 @@
 
 
 def test_a_part_is_fetched_only_after_its_prefill_has_ended():
-    async def act(parts, booker):
+    async def act(state, booker):
         first = await booker.book(make_request("1"))
         second = await booker.book(make_request("2", excluded=frozenset({first.reader.name})))
         assert (second.source, second.tokens) == (None, 9000)
@@ -137,7 +137,7 @@
         assert (third.source, third.tokens) == (first.reader, 1000)
         assert third.fetch_seconds == pytest.approx(0.008)
         assert find_source_address(third) == (first.reader.name, 1)
-        # It may be gone before the prompt is sent.
+        # The source may be removed before the prompt is sent.
         first.reader.gone = True
         assert find_source_address(third) is None
 
@@ -145,7 +145,7 @@
 
 
 def test_the_decode_engine_is_a_source_after_its_stage_has_ended():
-    async def act(parts, booker):
+    async def act(state, booker):
         booking = await booker.book(make_request("1"))
         booker.end(booking, Stage.READ, Outcome.BROKEN, 0.1)
         booker.end(booking, Stage.DECODE, Outcome.DONE, 0.1)
@@ -157,7 +157,7 @@
 
 
 def test_the_duration_of_a_copy_does_not_affect_the_learned_prefill_rate():
-    async def act(parts, booker):
+    async def act(state, booker):
         first = await booker.book(make_request("1"))
         booker.end(first, Stage.READ, Outcome.DONE, 0.09)
         first.reader.own = OpenWork(50_000, 1)
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -46,8 +46,10 @@
 
 
 def make_engines(prefill, decode):
-    readers = [make_instance(f"p{n}", Role.PREFILL, "ab"[n % 2]) for n in range(prefill)]
-    return readers + [make_instance(f"d{n}", Role.DECODE, "ab"[n % 2]) for n in range(decode)]
+    prefill_engines = [make_instance(f"p{n}", Role.PREFILL, "ab"[n % 2]) for n in range(prefill)]
+    return prefill_engines + [
+        make_instance(f"d{n}", Role.DECODE, "ab"[n % 2]) for n in range(decode)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -80,14 +82,16 @@
 
 
 @pytest.mark.parametrize(
-    ("read_slots", "held", "wanted"),
+    ("read_slots", "open_requests", "wanted"),
     # Twelve engines with 100,000 tokens a second and ten slots each; the offered prompts exceed the
     # prefill capacity of all of them.
     [(0, 0, 5), (90, 0, 3), (90, 33, 4)],
 )
-def test_prompts_beyond_the_prefill_capacity_take_no_engine_for_decode(read_slots, held, wanted):
+def test_prompts_beyond_the_prefill_capacity_take_no_engine_for_decode(
+    read_slots, open_requests, wanted
+):
     engines = make_engines(4, 8)
-    engines[-1].own = OpenWork(0, held)
+    engines[-1].own = OpenWork(0, open_requests)
     change = plan_change(engines, {}, Demand(1_500_000, 100, read_slots))
     assert f"{wanted} wanted" in change.reason
 
@@ -146,11 +150,13 @@
 
 
 def test_a_prompt_goes_to_the_engine_of_its_shared_part_unless_another_is_much_faster():
-    readers = [make_instance(f"p{n}", Role.PREFILL) for n in range(4)]
-    chosen = pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0)
-    assert all(pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0) is chosen for _ in range(5))
+    prefill_engines = [make_instance(f"p{n}", Role.PREFILL) for n in range(4)]
+    chosen = pick_prefill_engine(prefill_engines, 9000, "part", (), 0.0, 1.0)
+    assert all(
+        pick_prefill_engine(prefill_engines, 9000, "part", (), 0.0, 1.0) is chosen for _ in range(5)
+    )
     chosen.peers = OpenWork(20_000, 2)
-    other = pick_prefill_engine(readers, 9000, "part", (), 0.0, 1.0)
+    other = pick_prefill_engine(prefill_engines, 9000, "part", (), 0.0, 1.0)
     assert other is not chosen
     assert pick_prefill_engine([chosen], 9000, "part", (), 0.0, 0.1) is None
 
@@ -199,9 +205,9 @@
     assert not budgets.find("s").take(0.0)
     budgets.change(0.0, 10.0, 10.0)
     assert budgets.find("s").take(0.0)
-    same = budgets.find("s")
+    unchanged = budgets.find("s")
     budgets.change(0.0, 10.0, 10.0)
-    assert budgets.find("s") is same
+    assert budgets.find("s") is unchanged
 
 
 def test_offered_work_is_a_decaying_average_summed_over_hosts():
@@ -264,24 +270,26 @@
 
 def test_waiters_are_served_by_priority_then_deadline():
     async def act(queue):
-        served, room = [], []
+        served, free_slots = [], []
 
         def find_for(name):
             def find():
-                if not room:
+                if not free_slots:
                     return None
                 served.append(name)
-                return room.pop()
+                return free_slots.pop()
 
             return find
 
         waits = [
-            asyncio.ensure_future(queue.wait(find_for(name), room.append, priority, deadline, 5))
+            asyncio.ensure_future(
+                queue.wait(find_for(name), free_slots.append, priority, deadline, 5)
+            )
             for name, priority, deadline in (("late", 1, 1), ("second", 0, 9), ("first", 0, 2))
         ]
         await asyncio.sleep(0)
         assert len(queue) == 3
-        room.extend([make_instance("i")] * 3)
+        free_slots.extend([make_instance("i")] * 3)
         queue.serve()
         await asyncio.gather(*waits)
         assert served == ["first", "second", "late"]
@@ -291,11 +299,11 @@
 
 def test_a_waiter_that_is_cancelled_as_it_is_served_releases_its_slot():
     async def act(queue):
-        room, released = [], []
-        find = lambda: room.pop() if room else None  # noqa: E731
+        free_slots, released = [], []
+        find = lambda: free_slots.pop() if free_slots else None  # noqa: E731
         waiting = asyncio.ensure_future(queue.wait(find, released.append, 0, 1, 5))
         await asyncio.sleep(0)
-        room.append(make_instance("i"))
+        free_slots.append(make_instance("i"))
         queue.serve()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
@@ -304,7 +312,7 @@
     run_queue(act)
 
 
-def test_a_waiter_gets_none_when_its_time_is_over():
+def test_a_waiter_gets_none_after_its_maximum_wait():
     async def act(queue):
         assert await queue.wait(lambda: None, lambda _: None, 0, 1, 0.01) is None
         assert len(queue) == 0
--- a/tests/cover/test_home_zones.py
+++ b/tests/cover/test_home_zones.py
@@ -35,7 +35,7 @@
 
 ZONES = ("a", "b", "c")
 EVEN = dict.fromkeys(ZONES, 5)
-PACE = 100_000.0
+TOKENS_PER_SECOND = 100_000.0
 
 
 def make_parts(*tokens):
@@ -57,7 +57,7 @@
     ],
 )
 def test_only_a_long_shared_part_moves_a_prompt_from_its_callers_zone(parts, weights, homes):
-    assert list_home_zones(parts, weights, PACE, "near") == homes
+    assert list_home_zones(parts, weights, TOKENS_PER_SECOND, "near") == homes
 
 
 def count_homes(weights, parts=6000):
@@ -83,10 +83,10 @@
 def test_parts_move_only_from_or_to_the_zone_that_changed(after, moved):
     parts = [f"part{n}" for n in range(6000)]
     before = {part: rank_zones(part, EVEN)[0] for part in parts}
-    now = {part: rank_zones(part, after)[0] for part in parts}
-    changed = [part for part in parts if before[part] != now[part]]
+    new_home = {part: rank_zones(part, after)[0] for part in parts}
+    changed = [part for part in parts if before[part] != new_home[part]]
     assert len(changed) / 6000 == pytest.approx(moved, abs=0.02)
-    assert all("a" in (before[part], now[part]) or now[part] == "d" for part in changed)
+    assert all("a" in (before[part], new_home[part]) or new_home[part] == "d" for part in changed)
 
 
 def test_a_zone_with_few_engines_or_without_hosts_is_no_home_zone():
@@ -103,8 +103,8 @@
     assert [settings.is_in_same_region(zone) for zone in ("a", "b", "c", "unknown")] == [
         True, True, False, True,
     ]  # fmt: skip
-    untold = read_host_settings({**GOOD, "zone": "a"})
-    assert untold.is_in_same_region("c")
+    without_regions = read_host_settings({**GOOD, "zone": "a"})
+    assert without_regions.is_in_same_region("c")
 
 
 @pytest.mark.parametrize("zones", [["a"], {"a": 1}, "a"])
@@ -138,10 +138,10 @@
                 fleet.put(UpstreamRecord(f"{zone}{n}", "s", address, zone, 16, False, role))
         budgets = RetryBudgets(0.2, 50, 10)
         self.member = member
-        self.parts = GatewayState(member.zone, fleet, budgets, Metrics(), random.Random(1))
+        self.state = GatewayState(member.zone, fleet, budgets, Metrics(), random.Random(1))
         self.booker = ScheduledBooker(
-            LocalBooker(self.parts),
-            self.parts,
+            LocalBooker(self.state),
+            self.state,
             network.socket(member.ip),
             member.host,
             lambda: members,
@@ -157,13 +157,13 @@
     monkeypatch.setattr(scheduled_booking, "is_large_fleet", lambda _: True)
     monkeypatch.setattr(scheduled_booking, "REPLY_TIMEOUT_SECONDS", answer_seconds)
 
-    async def whole():
+    async def run():
         network = Network()
         members = [Member(f"{zone}{n}", f"{zone}{n}", zone) for zone in ZONES for n in range(3)]
         hosts = [Host(network, member, members) for member in members]
         await act(network, members, hosts)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def test_one_scheduler_books_all_prompts_of_a_part(monkeypatch):
@@ -247,9 +247,8 @@
 
 
 @pytest.mark.parametrize(
-    ("shape", "seconds", "story", "most"),
+    ("shape", "seconds", "story", "max_share"),
     [
-        # Each bound lies between the results of the two divisions.
         (SMALL, 30.0, Story("calm"), 0.15),
         (SMALL, 30.0, Story("a popular part", popular=0.2), 0.15),
         (SMALL, 30.0, Story("a zone lost", lost_zones=1), 0.24),
@@ -258,9 +257,9 @@
     ids=lambda value: getattr(value, "name", None),
 )
 def test_fewer_shared_tokens_are_prefilled_again_than_with_a_division_by_callers_zone(
-    shape, seconds, story, most
+    shape, seconds, story, max_share
 ):
     by_caller = play(shape, story, ByCaller(), seconds=seconds)
     by_part = play(shape, story, ByPart(), seconds=seconds)
-    assert by_part.again_share <= most < by_caller.again_share
+    assert by_part.again_share <= max_share < by_caller.again_share
     assert by_part.in_time_share >= by_caller.in_time_share - 0.02
--- a/tests/cover/test_policies.py
+++ b/tests/cover/test_policies.py
@@ -52,10 +52,10 @@
 def test_a_request_is_admitted_queued_or_refused(inflight, priority, left, ahead, decision):
     work = RequestEstimate(100, 10, priority)
     admission = DeadlineAdmission(0.2)
-    judged = admission.decide([make_candidate(inflight=inflight)], work, left, ahead, 5)
-    assert judged.decision is decision
+    result = admission.decide([make_candidate(inflight=inflight)], work, left, ahead, 5)
+    assert result.decision is decision
     if decision is Decision.REFUSE:
-        assert 1 <= judged.retry_after <= 30
+        assert 1 <= result.retry_after <= 30
 
 
 def test_routing_prefers_a_cached_prefix_unless_the_queue_is_longer():
@@ -64,8 +64,8 @@
     empty = make_candidate("empty")
     rng = random.Random(1)
     assert LeastPredicted().pick([cached, empty], work, rng) is cached
-    crowded = make_candidate("cached", cached_tokens=3900, waiting_tokens=20_000)
-    assert LeastPredicted().pick([crowded, empty], work, rng) is empty
+    busy = make_candidate("cached", cached_tokens=3900, waiting_tokens=20_000)
+    assert LeastPredicted().pick([busy, empty], work, rng) is empty
 
 
 def test_routing_prefers_the_faster_engine():
@@ -79,10 +79,10 @@
         LeastPredicted().pick(idle, RequestEstimate(10, 10), random.Random(n)).name
         for n in range(8)
     }
-    herd = {
+    chosen_by_report = {
         LeastReported().pick(idle, RequestEstimate(10, 10), random.Random(n)).name for n in range(8)
     }
-    assert len(herd) == 1
+    assert len(chosen_by_report) == 1
     assert len(chosen) >= 3
 
 
@@ -99,12 +99,12 @@
     for name in group:
         for _ in range(FAILURES_TO_EJECT):
             ejector.note_failure(name, group, 100.0)
-    out = [name for name in group if ejector.is_ejected(name, 101.0)]
-    assert len(out) == 2
-    assert not ejector.is_ejected(out[0], 102.5)
-    assert ejector.share(out[0], 103.0) == pytest.approx(0.1)
-    assert ejector.share(out[0], 107.0) == pytest.approx(0.5)
-    assert ejector.share(out[0], 200.0) == 1.0
+    ejected = [name for name in group if ejector.is_ejected(name, 101.0)]
+    assert len(ejected) == 2
+    assert not ejector.is_ejected(ejected[0], 102.5)
+    assert ejector.share(ejected[0], 103.0) == pytest.approx(0.1)
+    assert ejector.share(ejected[0], 107.0) == pytest.approx(0.5)
+    assert ejector.share(ejected[0], 200.0) == 1.0
 
 
 @pytest.mark.parametrize("order", [[1, 2, 3], [3, 2, 1], [2, 2, 1, 3], [3, 1, 3]])
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    ("edited", "said", "kept"),
+    ("edited", "message", "kept"),
     [
         ([GOOD[0], stored("Service", "chat", type="model", model="x")], "'x' is not declared", "m"),
         ([GOOD[0], stored("Service", "chat", type="odd")], "'odd' is not a choice", "m"),
@@ -151,12 +151,12 @@
     ],
     ids=["unknown model", "bad field", "model deleted", "version not listed"],
 )
-def test_an_invalid_edit_leaves_the_accepted_resource_in_place(edited, said, kept):
+def test_an_invalid_edit_leaves_the_accepted_resource_in_place(edited, message, kept):
     accepted = decide_acceptance(GOOD, {}).accepted
     assert len(accepted) == 2
     verdict = decide_acceptance(edited, accepted)
     assert verdict.accepted == accepted
-    assert any(said in str(fault) for fault in verdict.faults)
+    assert any(message in str(fault) for fault in verdict.faults)
 
 
 def test_valid_edits_are_accepted_beside_an_invalid_one():
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "asked", "kept"),
+    ("sent", "requested", "cached_tokens"),
     [
         ((), PROMPT, 0),
         (PROMPT, PROMPT, 9000),
@@ -42,12 +42,12 @@
         (PROMPT, (PromptPart("n/system", 2000),), 0),
     ],
 )
-def test_a_part_counts_as_cached_only_with_all_parts_before_it(sent, asked, kept):
+def test_a_part_counts_as_cached_only_with_all_parts_before_it(sent, requested, cached_tokens):
     cache = PromptCache()
     cache.note(sent, 100_000)
-    assert cache.count(asked) == kept
-    assert sum(item.tokens for item in cache.list_unread(asked)) == (
-        sum(item.tokens for item in asked) - kept
+    assert cache.count(requested) == cached_tokens
+    assert sum(item.tokens for item in cache.list_unread(requested)) == (
+        sum(item.tokens for item in requested) - cached_tokens
     )
 
 
@@ -75,10 +75,10 @@
     assert cache.count(PROMPT) == 2000
 
 
-def make_prefill_engine(name, open_tokens=0, kept=()):
+def make_prefill_engine(name, open_tokens=0, cached=()):
     record = UpstreamRecord(name, "s", ("127.0.0.1", 1), "a", 40, False, Role.PREFILL)
     engine = Instance(record, own=OpenWork(open_tokens, 1 if open_tokens else 0))
-    engine.cache.note(kept, 100_000)
+    engine.cache.note(cached, 100_000)
     return engine
 
 
@@ -98,10 +98,10 @@
 
 def test_a_prompt_may_wait_longer_at_an_engine_that_caches_its_parts():
     busy = make_prefill_engine("keeper", 5000, (SYSTEM, DOCUMENT))
-    stranger = make_prefill_engine("stranger", 5000)
+    without_parts = make_prefill_engine("stranger", 5000)
     # 5,000 tokens take 50 ms: more than the allowed wait, but less than with the 60 ms saved.
     assert pick_prefill_engine([busy], 9000, "document", (), 0.0, 0.01, PROMPT) is busy
-    assert pick_prefill_engine([stranger], 9000, "document", (), 0.0, 0.01, PROMPT) is None
+    assert pick_prefill_engine([without_parts], 9000, "document", (), 0.0, 0.01, PROMPT) is None
 
 
 def make_booker():
@@ -109,8 +109,8 @@
     for name, role in (("p", Role.PREFILL), ("d", Role.DECODE)):
         fleet.put(UpstreamRecord(name, "s", ("127.0.0.1", 1), "a", 40, False, role))
     fleet.traits["s"] = EngineTraits(40, 200_000, 100_000.0, 1e11, 5.0, 0.2)
-    parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
-    return parts, LocalBooker(parts)
+    state = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
+    return state, LocalBooker(state)
 
 
 REQUEST = BookingRequest("s", "a", 9000, "document", 0, True, 20.0, 0.0, 1.0, parts=PROMPT)
@@ -118,7 +118,7 @@
 
 def test_a_booking_counts_and_releases_only_the_tokens_to_prefill():
     async def run():
-        parts, booker = make_booker()
+        state, booker = make_booker()
         first = await booker.book(REQUEST)
         assert (first.tokens, first.reader.own.tokens) == (9000, 9000)
         second = await booker.book(REQUEST)
@@ -127,7 +127,7 @@
         for booking in (first, second):
             booker.end(booking, Stage.READ, Outcome.DONE, 0.1)
             booker.end(booking, Stage.DECODE, Outcome.DONE, 0.1)
-        assert all(item.own == OpenWork() for item in parts.fleet.instances.values())
+        assert all(item.own == OpenWork() for item in state.fleet.instances.values())
         assert (await booker.book(REQUEST)).tokens == 0
 
     asyncio.run(run())
@@ -147,13 +147,13 @@
 
 def test_prompts_sent_to_engines_are_reported_to_peers_once():
     async def run():
-        parts, booker = make_booker()
+        state, booker = make_booker()
         booking = await booker.book(REQUEST)
-        assert [item.engine for item in parts.sent_prompts] == ["p"]
+        assert [item.engine for item in state.sent_prompts] == ["p"]
         booker.end(booking, Stage.DECODE, Outcome.DONE, 0.1)
         # The decode engine has fetched it by then.
-        assert [item.engine for item in parts.sent_prompts] == ["p", "d"]
-        assert all(item.parts == PROMPT for item in parts.sent_prompts)
+        assert [item.engine for item in state.sent_prompts] == ["p", "d"]
+        assert all(item.parts == PROMPT for item in state.sent_prompts)
 
     asyncio.run(run())
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests that crash upstreams: duration, request names, messages, owners."""
+"""Quarantine of requests that crash upstreams: duration, fingerprints, messages, owners."""
 
 import contextlib
 import random
@@ -50,8 +50,8 @@
     return [Crash(f"i-{number}@1764720000000", at) for number in range(count)]
 
 
-def make_quarantine(crashes=0, name=None, late=0.0):
-    quarantine = Quarantine(late)
+def make_quarantine(crashes=0, name=None, jitter=0.0):
+    quarantine = Quarantine(jitter)
     if crashes:
         quarantine.note(name or make_name(), make_crashes(crashes), NOW)
     return quarantine
@@ -63,7 +63,7 @@
         ([], 0),
         ([0.0], 0),
         ([0.0, 0.1], FIRST_QUARANTINE_SECONDS),
-        # Attempts in flight, or from a host that did not know of the quarantine yet.
+        # Crashes during the quarantine, by attempts in flight or from uninformed hosts.
         ([0.0, 0.1, 0.2, 0.6], FIRST_QUARANTINE_SECONDS),
         # The trial after the quarantine.
         ([0.0, 0.1, 0.1 + FIRST_QUARANTINE_SECONDS], LONG_QUARANTINE_SECONDS),
@@ -95,7 +95,7 @@
     assert quarantine.note(make_name(), make_crashes(2), NOW)
 
 
-def test_a_crash_older_than_those_remembered_is_not_new():
+def test_a_crash_older_than_those_in_the_record_is_not_new():
     quarantine = make_quarantine()
     crashes = [Crash(f"i-{number}", NOW - 10 * number) for number in range(6)]
     assert quarantine.note(make_name(), crashes, NOW)
@@ -114,16 +114,16 @@
 
 def test_the_next_crash_after_a_long_quarantine_starts_another_one():
     quarantine = make_quarantine(2)
-    tried = NOW + FIRST_QUARANTINE_SECONDS
-    quarantine.note(make_name(), [Crash("i-8", tried)], tried)
-    later = tried + LONG_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE)
+    tried_at = NOW + FIRST_QUARANTINE_SECONDS
+    quarantine.note(make_name(), [Crash("i-8", tried_at)], tried_at)
+    later = tried_at + LONG_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE)
     quarantine.expire(later)
     quarantine.note(make_name(), [Crash("i-9", later)], later)
     assert quarantine.find_wait(make_name(), later) == LONG_QUARANTINE_SECONDS
 
 
 def test_hosts_release_a_request_at_different_times():
-    waits = {make_quarantine(2, late=share).find_wait(make_name(), NOW) for share in (0, 0.5, 1)}
+    waits = {make_quarantine(2, jitter=share).find_wait(make_name(), NOW) for share in (0, 0.5, 1)}
     assert sorted(waits) == [
         FIRST_QUARANTINE_SECONDS * factor
         for factor in (1, 1 + RELEASE_JITTER_SHARE / 2, 1 + RELEASE_JITTER_SHARE)
@@ -149,7 +149,7 @@
     assert quarantine.list_quarantined() == []
 
 
-def test_crashes_are_forgotten_after_the_retention_time():
+def test_crashes_are_removed_after_the_retention_time():
     quarantine = make_quarantine(3)
     quarantine.expire(NOW + CRASH_RETENTION_SECONDS)
     assert (len(quarantine), quarantine.knows_head(make_name().head)) == (0, False)
@@ -168,12 +168,12 @@
     assert sum(quarantine._head_counts.values()) == len(quarantine)
 
 
-# The name of a request.
+# Request fingerprints.
 
 HEAD = RequestHead(b"POST", b"/a/b?c", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
 
 
-def name_of(head=HEAD, workspace="", chunks=(b"body",)):
+def fingerprint_of(head=HEAD, workspace="", chunks=(b"body",)):
     body = Body()
     for chunk in chunks:
         body.feed(chunk)
@@ -181,30 +181,30 @@
     return fingerprint_request(head, workspace, body)
 
 
-def test_the_name_does_not_depend_on_the_framing_of_the_body():
+def test_the_fingerprint_does_not_depend_on_the_framing_of_the_body():
     other = RequestHead(
         b"POST", b"/a/b?c", ((b"X-Request-Id", b"2"), (b"host", b"SITE.example")), Framing.CHUNKED
     )
-    assert name_of() == name_of(other, chunks=(b"bo", b"dy"))
+    assert fingerprint_of() == fingerprint_of(other, chunks=(b"bo", b"dy"))
 
 
 @pytest.mark.parametrize(
     "name",
     [
-        name_of(workspace="club"),
-        name_of(chunks=(b"bodY",)),
-        name_of(chunks=()),
-        name_of(RequestHead(b"PUT", b"/a/b?c", HEAD.headers, Framing.LENGTH)),
-        name_of(RequestHead(b"POST", b"/a/b?d", HEAD.headers, Framing.LENGTH)),
-        name_of(RequestHead(b"POST", b"/a/b?c", ((b"Host", b"other"),), Framing.LENGTH)),
+        fingerprint_of(workspace="club"),
+        fingerprint_of(chunks=(b"bodY",)),
+        fingerprint_of(chunks=()),
+        fingerprint_of(RequestHead(b"PUT", b"/a/b?c", HEAD.headers, Framing.LENGTH)),
+        fingerprint_of(RequestHead(b"POST", b"/a/b?d", HEAD.headers, Framing.LENGTH)),
+        fingerprint_of(RequestHead(b"POST", b"/a/b?c", ((b"Host", b"other"),), Framing.LENGTH)),
     ],
     ids=["workspace", "body", "no body", "method", "path", "host"],
 )
-def test_different_requests_have_different_names(name):
-    assert name != name_of()
+def test_different_requests_have_different_fingerprints(name):
+    assert name != fingerprint_of()
 
 
-def test_a_request_has_no_name_until_its_body_is_complete():
+def test_a_request_has_no_fingerprint_until_its_body_is_complete():
     body = Body()
     body.feed(b"bo")
     assert fingerprint_request(HEAD, "", body) is None
@@ -212,7 +212,7 @@
     assert fingerprint_request(HEAD, "", body) is None
 
 
-def test_heads_whose_parts_join_to_the_same_bytes_have_different_names():
+def test_heads_whose_parts_join_to_the_same_bytes_have_different_fingerprints():
     one = RequestHead(b"GET", b"b", ((b"host", b"a"),), Framing.NONE)
     other = RequestHead(b"GET", b"", ((b"host", b"ab"),), Framing.NONE)
     assert fingerprint_head(one, "c") != fingerprint_head(other, "c")
@@ -297,7 +297,7 @@
     members = make_members(hosts)
     shuffled = random.Random(1).sample(members, len(members))
     for number in range(50):
-        name = name_of(chunks=(str(number).encode(),))
+        name = fingerprint_of(chunks=(str(number).encode(),))
         owners = HashRing(members).find(name)
         assert owners == HashRing(shuffled).find(name)
         assert len(set(owners)) == min(OWNERS_PER_REQUEST, hosts)
@@ -307,14 +307,14 @@
     assert HashRing(()).find(make_name()) == []
 
 
-def test_the_second_owner_becomes_the_first_without_that():
+def test_the_second_owner_replaces_a_removed_first_one():
     members = make_members(195)
-    name = name_of()
+    name = fingerprint_of()
     first, second = HashRing(members).find(name)
     assert HashRing([item for item in members if item != first]).find(name)[0] == second
 
 
-def test_a_request_is_quarantined_from_a_number_of_crashes_on():
+def test_a_request_is_quarantined_after_enough_crashes():
     assert not is_quarantined(
         CrashRecord(make_name(), tuple(make_crashes(CRASHES_TO_QUARANTINE - 1)))
     )
--- a/tests/cover/test_rate_limits.py
+++ b/tests/cover/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Hosts keep to an upstream's rate limit together, by a model of their queries."""
+"""All hosts together keep to an upstream's rate limit, in a model of their queries."""
 
 import pytest
 from hypothesis import given, settings
@@ -47,11 +47,11 @@
 
 
 @pytest.mark.parametrize(
-    ("way", "hosts", "rate"), [(EqualShares, 65, 2.9), (EqualShares, 195, 9.7)]
+    ("limiter", "hosts", "rate"), [(EqualShares, 65, 2.9), (EqualShares, 195, 9.7)]
 )
-def test_equal_shares_for_all_hosts_exceed_the_limit(way, hosts, rate):
+def test_equal_shares_for_all_hosts_exceed_the_limit(limiter, hosts, rate):
     # Each host may send one request at once, however small its share.
-    assert count_worst(play(way, hosts, rate, seed=1).arrivals) > allow(rate)
+    assert count_worst(play(limiter, hosts, rate, seed=1).arrivals) > allow(rate)
 
 
 def test_shares_for_some_hosts_only_leave_the_limit_unused():
--- a/tests/cover/test_role_delay.py
+++ b/tests/cover/test_role_delay.py
@@ -19,35 +19,35 @@
     return RoleChange(make_engine("e", Role.DECODE), role, "load", urgent)
 
 
-READ, DECODE = make_change(Role.PREFILL), make_change(Role.DECODE)
+PREFILL, DECODE = make_change(Role.PREFILL), make_change(Role.DECODE)
 URGENT = make_change(Role.DECODE, urgent=True)
 
 
 @pytest.mark.parametrize(
-    ("looks", "allowed"),
+    ("checks", "allowed"),
     [
-        ([(0.0, READ)], False),
-        ([(0.0, READ), (2.9, READ)], False),
-        ([(0.0, READ), (3.0, READ)], True),
+        ([(0.0, PREFILL)], False),
+        ([(0.0, PREFILL), (2.9, PREFILL)], False),
+        ([(0.0, PREFILL), (3.0, PREFILL)], True),
         # An interruption restarts the delay.
-        ([(0.0, READ), (1.5, None), (3.0, READ)], False),
-        ([(0.0, READ), (1.5, DECODE), (3.0, READ)], False),
-        ([(0.0, READ), (1.5, DECODE), (4.5, DECODE)], True),
+        ([(0.0, PREFILL), (1.5, None), (3.0, PREFILL)], False),
+        ([(0.0, PREFILL), (1.5, DECODE), (3.0, PREFILL)], False),
+        ([(0.0, PREFILL), (1.5, DECODE), (4.5, DECODE)], True),
         ([(0.0, URGENT)], True),
     ],
 )
-def test_a_change_is_ordered_once_it_has_been_wanted_for_long_enough(looks, allowed):
+def test_a_change_is_ordered_once_it_has_been_wanted_for_long_enough(checks, allowed):
     delay = RoleChangeDelay()
-    found = [delay.allows("s", change, SECONDS, at) for at, change in looks]
+    found = [delay.allows("s", change, SECONDS, at) for at, change in checks]
     assert found[-1] is allowed
     assert not any(found[:-1])
 
 
 def test_services_are_delayed_independently():
     delay = RoleChangeDelay()
-    delay.allows("s", READ, SECONDS, 0.0)
-    assert not delay.allows("t", READ, SECONDS, 3.0)
-    assert delay.allows("s", READ, SECONDS, 3.0)
+    delay.allows("s", PREFILL, SECONDS, 0.0)
+    assert not delay.allows("t", PREFILL, SECONDS, 3.0)
+    assert delay.allows("s", PREFILL, SECONDS, 3.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -87,16 +87,16 @@
 
 
 def run_booker(act):
-    async def whole():
+    async def run():
         fleet = Fleet()
         for name, role in (("p", Role.PREFILL), ("d", Role.DECODE)):
             fleet.put(UpstreamRecord(name, "s", (name, 1), "a", 40, False, role))
-        parts = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
+        state = GatewayState("a", fleet, RetryBudgets(0.2, 10, 10), Metrics(), random.Random(1))
         # Has too many open streams to prefill long prompts itself.
         fleet.instances["d"].own = OpenWork(0, 30)
-        await act(parts, LocalBooker(parts), fleet.instances["p"])
+        await act(state, LocalBooker(state), fleet.instances["p"])
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 async def run_pending_tasks():
@@ -105,7 +105,7 @@
 
 
 def test_a_late_request_waits_for_an_engine_that_is_nearly_idle():
-    async def act(parts, booker, reader):
+    async def act(state, booker, reader):
         reader.own = OpenWork(4_000_000, 1)
         late = asyncio.ensure_future(booker.book(REQUEST))
         await run_pending_tasks()
@@ -123,7 +123,7 @@
 
 
 def test_requests_in_time_go_before_late_ones():
-    async def act(parts, booker, reader):
+    async def act(state, booker, reader):
         reader.own = OpenWork(4_000_000, 1)
         late = asyncio.ensure_future(booker.book(REQUEST))
         await run_pending_tasks()
@@ -140,19 +140,19 @@
 
 @pytest.mark.parametrize(("offered", "refused"), [(0.5, False), (1.0, True), (3.0, True)])
 def test_a_late_request_is_refused_at_once_if_no_capacity_remains(offered, refused):
-    async def act(parts, booker, reader):
+    async def act(state, booker, reader):
         reader.own = OpenWork(1_500_000, 1)
         now = asyncio.get_running_loop().time()
         # Offered work is averaged over four seconds.
-        parts.demand.note_arrival("s", "r", int(offered * reader.effective_read_rate * 4), now)
+        state.demand.note_arrival("s", "r", int(offered * reader.effective_read_rate * 4), now)
         request = replace(REQUEST, longest_read_wait=10.0, latest_read=10.0)
-        asked = asyncio.ensure_future(booker.book(request))
+        booking = asyncio.ensure_future(booker.book(request))
         await run_pending_tasks()
-        assert asked.done() is refused
+        assert booking.done() is refused
         if refused:
-            assert isinstance(asked.result(), NoCapacity)
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
+            assert isinstance(booking.result(), NoCapacity)
+        booking.cancel()
+        await asyncio.gather(booking, return_exceptions=True)
 
     run_booker(act)
 
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize(("hosts", "share"), [(1, 1.0), (9, 1 / 9), (65, 0.5)])
 def test_a_queue_has_a_hosts_share_of_the_engines_or_a_schedulers(hosts, share):
-    parts = GatewayState(
+    state = GatewayState(
         "a", Fleet(), RetryBudgets(0.2, 10, 10, hosts=hosts), Metrics(), random.Random(1)
     )
     readers = [
@@ -175,4 +175,4 @@
         for zone in "ab"
         for n in range(5)
     ]
-    assert WaitPredictor(parts)._find_capacity_share(REQUEST, readers) == pytest.approx(share)
+    assert WaitPredictor(state)._find_capacity_share(REQUEST, readers) == pytest.approx(share)
