--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -18,7 +18,7 @@
 
 ENGINES = ("prefill", "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
 HOSTS = ("g0", "g1", "g2")
-AWAY_SECONDS = 0.2
+RESTART_SECONDS = 0.2
 LATER_START_MS = 60_000
 # Seconds between two attempts, so that the hosts can detect a crash.
 PAUSE_SECONDS = 0.1
@@ -65,7 +65,7 @@
 
 
 async def restart_hosts(site):
-    """Stop all hosts at once and start them again without their memory."""
+    """Stop all hosts at once and start them again without their state."""
     for name in HOSTS:
         site.gateways[name].task.cancel()
     await asyncio.gather(*(site.gateways[name].task for name in HOSTS), return_exceptions=True)
@@ -78,7 +78,7 @@
 @on_site(gateways=3, engines=ENGINES, plain=8)
 async def test_a_request_that_crashes_its_upstreams_is_quarantined(site, path, body, headers):
     await report_starts(site)
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     answers = await send_repeatedly(site, path, body, headers)
     assert_quarantined(site, answers)
 
@@ -88,7 +88,7 @@
 async def test_a_request_is_the_same_from_any_caller_address(site, path, body, headers):
     """Guards against treating repeats from other addresses, such as proxies', as new requests."""
     await report_starts(site)
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     sources = [f"127.0.0.{number}" for number in range(2, 38)]
     answers = await send_repeatedly(site, path, body, headers, sources=sources)
     assert_quarantined(site, answers)
@@ -100,7 +100,7 @@
     site, path, body, headers
 ):
     await report_starts(site)
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     sources = [f"127.0.0.{number}" for number in range(2, 38)]
     seen = {"hosts": HOSTS[:1], "sources": sources[:18]}
     await send_repeatedly(site, path, body, headers, attempts=6, **seen)
@@ -119,7 +119,7 @@
     await report_starts(site)
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 6 for item in gateways), "all hosts")
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     answers = await send_repeatedly(site, path, body, headers)
     assert len(site.crashes) <= MAX_CRASHES
     assert answers[-1].status == 503
@@ -152,8 +152,8 @@
         answers += await send_repeatedly(site, path, body, headers, attempts=1)
         # A host can detect the crash only once the discovery list contains the restarted upstream.
         await wait_until(lambda: not site.count_away(), "all upstreams back")
-        await wait_until(lambda: all_hosts_list_restarted(site), "the next starts heard of")
-        # Hosts wait for late data before they close connections, and again before they report.
+        await wait_until(lambda: all_hosts_list_restarted(site), "all restarts listed")
+        # Hosts wait for late data before they close connections, and before they report the crash.
         await asyncio.sleep(2 * LATE_DATA_SECONDS + PAUSE_SECONDS)
     assert_quarantined(site, answers)
 
@@ -162,7 +162,7 @@
 @on_site(gateways=3, engines=ENGINES, plain=8)
 async def test_a_quarantine_survives_a_restart_of_all_hosts(site, path, body, headers):
     await report_starts(site)
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     await send_repeatedly(site, path, body, headers)
     before = len(site.crashes)
     await restart_hosts(site)
@@ -201,7 +201,7 @@
     await report_starts(site)
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 8 for item in gateways), "all hosts")
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     for upstream in site.upstreams.values():
         upstream.seconds = 0.2
     hosts = list(site.gateways)
--- a/tests/hosted/test_requests.py
+++ b/tests/hosted/test_requests.py
@@ -42,7 +42,7 @@
 
 
 @on_site(engines=("prefill", "prefill", "decode"))
-async def test_an_engine_is_told_where_to_fetch_a_cached_prefix(site):
+async def test_an_engine_gets_the_address_to_fetch_a_cached_prefix_from(site):
     parts = "aa:4000,bb:4000,{}:1000"
     for number in range(2):
         await ask(
@@ -59,9 +59,9 @@
     )  # fmt: skip
     assert answer.status == 200
     fetched = [headers.get("kv-fetch") for _, headers in other.arrivals]
-    keepers = {site.addresses[first.instance], site.addresses["e2"]}
+    sources = {site.addresses[first.instance], site.addresses["e2"]}
     assert len(fetched) == 1
-    assert set(fetched) <= keepers
+    assert set(fetched) <= sources
 
 
 @on_site()
@@ -178,8 +178,8 @@
     await wait_until(lambda: any(u.arrivals for u in arrived), "arrival")
     caller.close()
     await wait_until(lambda: any("r1" in u.cancelled for u in arrived), "cancellation")
-    engine = site.gateways["g0"].gateway
-    await wait_until(lambda: engine.count_open_requests() == 0, "open work to end")
+    gateway = site.gateways["g0"].gateway
+    await wait_until(lambda: gateway.count_open_requests() == 0, "open work to end")
 
 
 @pytest.mark.parametrize(("share", "status", "runs"), [(0.0, 503, 0), (5.0, 200, 1)])
@@ -247,7 +247,7 @@
 
 @on_site()
 async def test_many_requests_at_once_each_get_their_own_answer(site):
-    async def one(number):
+    async def check_answer(number):
         kind = number % 3
         name = f"r{number}"
         if kind == 0:
@@ -258,7 +258,7 @@
         answer = await ask(address_of(site), path, name, X_Token_Usage=tokens)
         return answer.status == 503 or answer.body == make_stream(name)
 
-    assert all(await asyncio.gather(*(one(number) for number in range(120))))
+    assert all(await asyncio.gather(*(check_answer(number) for number in range(120))))
 
 
 @on_site(plain=1)
--- a/tests/hosted/test_unaffected_requests.py
+++ b/tests/hosted/test_unaffected_requests.py
@@ -13,10 +13,10 @@
 from tests.common.http import RawCaller, ask, write_request
 from tests.hosted.sites import SHORT, address_of, count_runs, on_site, script
 from tests.hosted.test_crashing_requests import (
-    AWAY_SECONDS,
     ENGINES,
     HOSTS,
     LATER_START_MS,
+    RESTART_SECONDS,
     send_repeatedly,
 )
 from tests.hosted.test_starts import report_starts
@@ -49,19 +49,19 @@
 async def test_a_popular_request_beside_one_that_crashes_upstreams_is_served(site, path, headers):
     # It is open at each upstream that crashes, but its answers elsewhere clear it.
     await report_starts(site)
-    site.allow_crashes(AWAY_SECONDS, LATER_START_MS)
+    site.allow_crashes(RESTART_SECONDS, LATER_START_MS)
     for upstream in site.upstreams.values():
         upstream.seconds = 0.02
     ended = asyncio.Event()
 
-    async def call_all_the_time(caller):
+    async def call_continuously(caller):
         number = 0
         while not ended.is_set():
             host = address_of(site, HOSTS[number % len(HOSTS)])
             await ask(host, path, f"p{caller}-{number}", body=b"popular", **headers)
             number += 1
 
-    callers = [asyncio.ensure_future(call_all_the_time(number)) for number in range(12)]
+    callers = [asyncio.ensure_future(call_continuously(number)) for number in range(12)]
     await send_repeatedly(site, path, DEADLY, headers, attempts=6)
     ended.set()
     await asyncio.gather(*callers)
@@ -149,9 +149,9 @@
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
     name = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
-    case = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
+    record = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
     for host in HOSTS:
-        find_guard(site, host).merge_crash_records([case], "test")
+        find_guard(site, host).merge_crash_records([record], "test")
     refused = await ask(address_of(site), "/card/a", "early", body=b"same")
     assert (refused.status, refused.retry_after > 1) == (503, True)
     for upstream in site.upstreams.values():
@@ -164,13 +164,13 @@
 
 @on_site(gateways=2)
 async def test_a_request_with_a_quarantined_head_waits_until_its_body_is_complete(site):
-    # Only the body tells whether it is the quarantined request.
+    # Only the body distinguishes it from the quarantined request.
     await report_starts(site)
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
     name = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
-    case = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
-    find_guard(site, "g0").merge_crash_records([case], "test")
+    record = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
+    find_guard(site, "g0").merge_crash_records([record], "test")
     for last, status in ((b"e", 503), (b"x", 200)):
         caller = await RawCaller.connect(address_of(site))
         request = write_request("/card/a", f"p{status}", body=b"sam" + last)
--- a/tests/hosted/test_upstream_limits.py
+++ b/tests/hosted/test_upstream_limits.py
@@ -1,6 +1,6 @@
 """All hosts together keep to the rate limit that an upstream states in its answers.
 
-Guards against ignoring the header, and against hosts that each keep to a limit that is for all.
+Guards against ignoring the header, and against each host using the whole limit on its own.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 ENGINES = ("prefill", "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
 STREAM = {"X_Token_Usage": SHORT, "X_Model": "m"}
 READING = {"X_Token_Usage": LONG, "X_Model": "m"}
-# Seconds after the first such answer in which hosts may still learn of the limit.
+# Seconds from the first answer with a limit until all hosts must keep to it.
 LEARN_SECONDS = 1.0
 LOAD_SECONDS = 5.2
 REQUESTS_A_SECOND = 50
@@ -136,9 +136,7 @@
 
 @pytest.mark.parametrize("load", [PLAIN, STREAMS, READINGS], ids=["plain", "streams", "readings"])
 @on_site(gateways=1, engines=ENGINES, plain=2)
-async def test_a_request_goes_elsewhere_if_its_upstream_stops_accepting_before_it_is_sent(
-    site, load
-):
+async def test_a_request_is_sent_to_another_upstream_if_its_own_stops_accepting_before(site, load):
     # The limit is learned between the choice of the upstream and the first byte.
     permits = site.gateways["g0"].gateway._state.permits
     use, held = permits.use, []
@@ -146,7 +144,7 @@
     async def raise_held_once(ctx, instance):
         if not held:
             held.append(instance.name)
-            raise UpstreamHeldError(f"{instance.name} takes nothing now", 0.1)
+            raise UpstreamHeldError(f"{instance.name} accepts no requests", 0.1)
         await use(ctx, instance)
 
     permits.use = raise_held_once
