--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -72,16 +72,18 @@
             head, body = await connection.exchange(build_request(ctx, plan.forwarding))
     except TimeoutError:
         raise UpstreamSilentError("no answer head before the timeout") from None
-    facts = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
+    metadata = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
     # An engine may refuse a request before it has read the id.
-    if facts.request_id != ctx.facts.request_id and not (facts.not_run and not facts.request_id):
+    if metadata.request_id != ctx.metadata.request_id and not (
+        metadata.not_run and not metadata.request_id
+    ):
         raise CrossedAnswerError("the answer carries the id of another request", sent=True)
-    if facts.not_run:
+    if metadata.not_run:
         await body.read_whole(MAX_REFUSAL_BYTES)
-        if facts.replaced:
+        if metadata.replaced:
             raise UpstreamLeavingError(f"{plan.instance.name} was replaced at its address")
         raise UpstreamBusyError(f"{plan.instance.name} refused with {head.status}")
-    if head.status < 300 and not facts.signed:
+    if head.status < 300 and not metadata.signed:
         raise UpstreamBrokenError(f"the answer with {head.status} has no signature", sent=True)
     return head, body
 
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -13,7 +13,7 @@
 from swifttrestle.internal.state.bookings import Booking, BookingRequest, NoCapacity, Outcome, Stage
 from swifttrestle.internal.state.fleet import Instance, OpenWork
 
-# Longest wait of a late request at a prefill engine, as a share of that of one in time: keeps the
+# Maximum wait of a late request at a prefill engine, as a share of that of one in time: keeps the
 # engines' queues short for the others.
 LATE_PREFILL_WAIT_SHARE = 0.1
 
@@ -23,7 +23,7 @@
 
     @abstractmethod
     async def book(self, request: BookingRequest) -> Booking | NoCapacity:
-        """Return the engines booked for a request, or NoCapacity after its longest wait."""
+        """Return the engines booked for a request, or NoCapacity after its maximum wait."""
 
     @abstractmethod
     def end(self, booking: Booking, stage: Stage, outcome: Outcome, seconds: float) -> None:
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -108,17 +108,19 @@
         route = self._find_route(table, request.head)
         self._check_time_to_stop(route, request.received)
         workspace = self._find_workspace(table, route, request)
-        facts = read_request_metadata(request.head.headers)
+        metadata = read_request_metadata(request.head.headers)
         service = table.configuration.services.get(pick_service(route, self._state.rng))
         if service is None:
             raise RefusedError(
                 Code.UNKNOWN_SERVICE, f"route {route.name} names no declared service"
             )
-        seconds = route.timeout if facts.patience is None else min(facts.patience, route.timeout)
+        seconds = (
+            route.timeout if metadata.patience is None else min(metadata.patience, route.timeout)
+        )
         return Context(
             request,
             reply,
-            facts,
+            metadata,
             self._write_headers(table, request.head, workspace),
             route,
             service,
@@ -235,7 +237,7 @@
             list_age=round(min(now - self._state.fleet.confirmed_at, MAX_LOGGED_AGE_SECONDS), 1),
             code=code.name,
             outcome=outcome,
-            tokens=[ctx.facts.prompt_tokens, ctx.facts.output_tokens] if ctx else None,
+            tokens=[ctx.metadata.prompt_tokens, ctx.metadata.output_tokens] if ctx else None,
             ms=round((now - request.received) * 1000, 1),
             steps=_list_steps(ctx),
             **_make_fingerprint_field(ctx, code),
@@ -246,8 +248,8 @@
     """Return the log field with the request's fingerprint if it may have failed at an upstream."""
     if ctx is None:
         return {}
-    lost = ctx.may_have_run and code is not Code.OK
-    if not (lost or ctx.runs or ctx.failed_prefills or code is Code.QUARANTINED):
+    may_have_failed = ctx.may_have_run and code is not Code.OK
+    if not (may_have_failed or ctx.runs or ctx.failed_prefills or code is Code.QUARANTINED):
         return {}
     fingerprint = ctx.fingerprint
     return {"name": str(fingerprint)} if fingerprint else {}
--- a/src/swifttrestle/internal/forward/prefill.py
+++ b/src/swifttrestle/internal/forward/prefill.py
@@ -163,12 +163,12 @@
                 )
         except TimeoutError:
             raise UpstreamSilentError(f"no prefill within {timeout_seconds:.2f} s") from None
-        facts = read_response_metadata(head.status, head.headers, reader.record.instance)
-        if facts.not_run:
-            if facts.replaced:
+        metadata = read_response_metadata(head.status, head.headers, reader.record.instance)
+        if metadata.not_run:
+            if metadata.replaced:
                 raise UpstreamLeavingError(f"{reader.name} was replaced at its address")
             raise UpstreamBusyError(f"{reader.name} refused with {head.status}")
-        if head.status != 200 or facts.request_id not in (b"", ctx.facts.request_id):
+        if head.status != 200 or metadata.request_id not in (b"", ctx.metadata.request_id):
             raise UpstreamBrokenError(f"{reader.name} answered {head.status}")
         return read_handle(content)
 
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -155,7 +155,7 @@
                 self._fallback_buckets, start, urgent, len(self._list_members())
             )
         else:
-            # Unused tokens must not accumulate until no owner can be reached again.
+            # Otherwise unused tokens would accumulate until the fallback is needed next.
             self._fallback_buckets.pop(start, None)
         if seconds > 0:
             self._conditions.deny(start, seconds, urgent)
--- a/src/swifttrestle/internal/policy/usage_windows.py
+++ b/src/swifttrestle/internal/policy/usage_windows.py
@@ -18,7 +18,7 @@
 
 
 def list_unacknowledged_reports(reports: Sequence[RecordedUsage]) -> list[RecordedUsage]:
-    """Return the recorded reports without an acknowledgement, to be sent again unchanged."""
+    """Return the recorded reports without an acknowledgement, to be resent unchanged."""
     return [item for item in reports if not item.taken]
 
 
