--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -127,15 +127,15 @@
     await wait_until(lambda: all(len(item.quarantine) for item in guards), "known at all hosts")
 
 
-@pytest.mark.parametrize("way", [Crashing.OTHER_ID, Crashing.SILENT], ids=["other id", "silent"])
+@pytest.mark.parametrize("mode", [Crashing.OTHER_ID, Crashing.SILENT], ids=["other id", "silent"])
 @on_site(gateways=3, plain=8)
-async def test_upstreams_that_crash_in_other_ways_count_as_well(site, way):
+async def test_upstreams_that_crash_in_other_ways_count_as_well(site, mode):
     # A crash without closed connections is detected only after the request has timed out, so that
     # another attempt may be sent before that.
     await report_starts(site)
-    site.allow_crashes(1.0, LATER_START_MS, way)
+    site.allow_crashes(1.0, LATER_START_MS, mode)
     answers = await send_repeatedly(site, "/card/a", DEADLY, {}, attempts=8)
-    assert len(site.crashes) <= MAX_CRASHES + (way is Crashing.SILENT)
+    assert len(site.crashes) <= MAX_CRASHES + (mode is Crashing.SILENT)
     assert answers[-1].status == 503
 
 
