--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -74,7 +74,7 @@
         raise UpstreamSilentError("no answer head before the timeout") from None
     metadata = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
     # An engine may refuse a request before it has read the id.
-    if metadata.request_id != ctx.metadata.request_id and not (
+    if metadata.request_id != ctx.request_metadata.request_id and not (
         metadata.not_run and not metadata.request_id
     ):
         raise CrossedAnswerError("the answer carries the id of another request", sent=True)
--- a/src/swifttrestle/internal/forward/context.py
+++ b/src/swifttrestle/internal/forward/context.py
@@ -32,7 +32,7 @@
 
     request: IncomingRequest
     reply: ResponseWriter
-    metadata: RequestMetadata
+    request_metadata: RequestMetadata
     headers: list[Header]
     route: Route
     service: ServiceDeclaration
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -111,7 +111,7 @@
         request = BookingRequest(
             service=ctx.service.name,
             zone=self._state.zone,
-            tokens=ctx.metadata.prompt_tokens,
+            tokens=ctx.request_metadata.prompt_tokens,
             affinity=find_affinity(ctx),
             priority=ctx.priority,
             urgent=ctx.urgent,
@@ -153,14 +153,14 @@
         """Return the seconds until engines of each role that the request needs accept one."""
         service, now = ctx.service.name, asyncio.get_running_loop().time()
         engines = self._state.fleet.list_service(service)
-        short = is_short_prompt(ctx.metadata.prompt_tokens, engines)
+        short = is_short_prompt(ctx.request_metadata.prompt_tokens, engines)
         roles = (Role.DECODE,) if short else (Role.DECODE, Role.PREFILL)
         return self._state.find_wait_seconds(service, now, roles, ctx.urgent)
 
     def _note_arrival(self, ctx: Context, now: float) -> None:
         self._state.budgets.find(ctx.service.name).note_request(now)
         engines = self._state.fleet.list_service(ctx.service.name)
-        tokens = ctx.metadata.prompt_tokens
+        tokens = ctx.request_metadata.prompt_tokens
         tokens = 0 if is_short_prompt(tokens, engines) else tokens
         self._state.demand.note_arrival(ctx.service.name, ctx.route.name, tokens, now)
 
@@ -323,7 +323,7 @@
 
 def qualify_parts(ctx: Context) -> tuple[PromptPart, ...]:
     """Return the prompt's parts with names that are unique among models."""
-    request_metadata = ctx.metadata
+    request_metadata = ctx.request_metadata
     return tuple(
         PromptPart(f"{request_metadata.model}/{item.part}", item.tokens)
         for item in request_metadata.parts
@@ -332,7 +332,7 @@
 
 def find_affinity(ctx: Context) -> str:
     """Return the id of the last shared part of the prompt, or of the request if there is none."""
-    parts = ctx.metadata.parts
+    parts = ctx.request_metadata.parts
     if len(parts) >= 2:
         return parts[-2].part
-    return parts[-1].part if parts else ctx.metadata.request_id.decode("latin-1")
+    return parts[-1].part if parts else ctx.request_metadata.request_id.decode("latin-1")
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -237,7 +237,9 @@
             list_age=round(min(now - self._state.fleet.confirmed_at, MAX_LOGGED_AGE_SECONDS), 1),
             code=code.name,
             outcome=outcome,
-            tokens=[ctx.metadata.prompt_tokens, ctx.metadata.output_tokens] if ctx else None,
+            tokens=[ctx.request_metadata.prompt_tokens, ctx.request_metadata.output_tokens]
+            if ctx
+            else None,
             ms=round((now - request.received) * 1000, 1),
             steps=_list_steps(ctx),
             **_make_fingerprint_field(ctx, code),
--- a/src/swifttrestle/internal/forward/prefill.py
+++ b/src/swifttrestle/internal/forward/prefill.py
@@ -168,7 +168,7 @@
             if metadata.replaced:
                 raise UpstreamLeavingError(f"{reader.name} was replaced at its address")
             raise UpstreamBusyError(f"{reader.name} refused with {head.status}")
-        if head.status != 200 or metadata.request_id not in (b"", ctx.metadata.request_id):
+        if head.status != 200 or metadata.request_id not in (b"", ctx.request_metadata.request_id):
             raise UpstreamBrokenError(f"{reader.name} answered {head.status}")
         return read_handle(content)
 
