--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -72,16 +72,18 @@
             head, body = await connection.exchange(build_request(ctx, plan.forwarding))
     except TimeoutError:
         raise UpstreamSilentError("no answer head before the timeout") from None
-    facts = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
+    metadata = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
     # An engine may refuse a request before it has read the id.
-    if facts.request_id != ctx.facts.request_id and not (facts.not_run and not facts.request_id):
+    if metadata.request_id != ctx.request_metadata.request_id and not (
+        metadata.not_run and not metadata.request_id
+    ):
         raise CrossedAnswerError("the answer carries the id of another request", sent=True)
-    if facts.not_run:
+    if metadata.not_run:
         await body.read_whole(MAX_REFUSAL_BYTES)
-        if facts.replaced:
+        if metadata.replaced:
             raise UpstreamLeavingError(f"{plan.instance.name} was replaced at its address")
         raise UpstreamBusyError(f"{plan.instance.name} refused with {head.status}")
-    if head.status < 300 and not facts.signed:
+    if head.status < 300 and not metadata.signed:
         raise UpstreamBrokenError(f"the answer with {head.status} has no signature", sent=True)
     return head, body
 
@@ -114,7 +116,7 @@
     """
     instance = plan.instance
     async with pool.acquire(instance.name, instance.record.address) as connection:
-        # It may have started to drain while the connection was established.
+        # The instance may have started to drain while the connection was established.
         if instance.leaving:
             raise UpstreamLeavingError(f"{instance.name} is draining")
         try:
@@ -130,11 +132,11 @@
         elif head.framing is Framing.LENGTH and head.length > MAX_BUFFERED_ANSWER_BYTES:
             await _stream_answer(ctx, head, body)
         else:
-            await _send_whole(ctx, head, body)
+            await _send_buffered(ctx, head, body)
         await pool.mark_reusable(connection, head)
 
 
-async def _send_whole(ctx: Context, head: ResponseHead, body: Body) -> None:
+async def _send_buffered(ctx: Context, head: ResponseHead, body: Body) -> None:
     content = await body.read_whole(max(head.length, MAX_BUFFERED_UNSIZED_ANSWER_BYTES))
     headers = strip_answer_headers(head.headers)
     ctx.note_first_byte()
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -34,7 +34,7 @@
 # Retry-After, in seconds, of a host without a configuration, and of a stopping one.
 UNCONFIGURED_RETRY_SECONDS = 0.5
 STOPPING_RETRY_SECONDS = 0.05
-# Age that the log shows for a discovery list that was never confirmed.
+# Maximum age of the discovery list in the log, also shown if it was never confirmed.
 MAX_LOGGED_AGE_SECONDS = 9999.0
 # Seconds before the deadline at which a request is cancelled, so that the error arrives in time.
 ANSWER_MARGIN_SECONDS = 0.01
@@ -55,7 +55,7 @@
         """Book engines by `booker`; read the route table in force by `find_table`.
 
         `find_confirmed_at` returns when that table was last confirmed to be the newest version, and
-        `revocation_bound` is for how many seconds after its removal a key may be accepted.
+        `revocation_bound` is the number of seconds for which a removed key may still be accepted.
         `count_request` is called with the workspace of each request when its answer begins.
         """
         self._state = state
@@ -108,17 +108,19 @@
         route = self._find_route(table, request.head)
         self._check_time_to_stop(route, request.received)
         workspace = self._find_workspace(table, route, request)
-        facts = read_request_metadata(request.head.headers)
+        metadata = read_request_metadata(request.head.headers)
         service = table.configuration.services.get(pick_service(route, self._state.rng))
         if service is None:
             raise RefusedError(
                 Code.UNKNOWN_SERVICE, f"route {route.name} names no declared service"
             )
-        seconds = route.timeout if facts.patience is None else min(facts.patience, route.timeout)
+        seconds = (
+            route.timeout if metadata.patience is None else min(metadata.patience, route.timeout)
+        )
         return Context(
             request,
             reply,
-            facts,
+            metadata,
             self._write_headers(table, request.head, workspace),
             route,
             service,
@@ -126,7 +128,7 @@
             table.configuration.version,
             urgent=table.is_urgent(route, service.name, workspace),
             workspace=workspace,
-            on_run=self._count_request,
+            count_request=self._count_request,
         )
 
     def _find_workspace(
@@ -235,7 +237,9 @@
             list_age=round(min(now - self._state.fleet.confirmed_at, MAX_LOGGED_AGE_SECONDS), 1),
             code=code.name,
             outcome=outcome,
-            tokens=[ctx.facts.prompt_tokens, ctx.facts.output_tokens] if ctx else None,
+            tokens=[ctx.request_metadata.prompt_tokens, ctx.request_metadata.output_tokens]
+            if ctx
+            else None,
             ms=round((now - request.received) * 1000, 1),
             steps=_list_steps(ctx),
             **_make_fingerprint_field(ctx, code),
@@ -246,8 +250,8 @@
     """Return the log field with the request's fingerprint if it may have failed at an upstream."""
     if ctx is None:
         return {}
-    lost = ctx.may_have_run and code is not Code.OK
-    if not (lost or ctx.runs or ctx.failed_prefills or code is Code.QUARANTINED):
+    may_have_failed = ctx.may_have_run and code is not Code.OK
+    if not (may_have_failed or ctx.runs or ctx.failed_prefills or code is Code.QUARANTINED):
         return {}
     fingerprint = ctx.fingerprint
     return {"name": str(fingerprint)} if fingerprint else {}
--- a/src/swifttrestle/internal/forward/prefill.py
+++ b/src/swifttrestle/internal/forward/prefill.py
@@ -126,7 +126,7 @@
         """Record a failed prefill; raise RefusedError if it may not be repeated.
 
         A rejection itself counts against the retry budget, and the attempt after it does not. After
-        any other failure the next attempt counts.
+        any other failure, the next attempt counts.
         """
         ctx.failed_prefills += 1
         ctx.excluded.add(reader.name)
@@ -163,12 +163,12 @@
                 )
         except TimeoutError:
             raise UpstreamSilentError(f"no prefill within {timeout_seconds:.2f} s") from None
-        facts = read_response_metadata(head.status, head.headers, reader.record.instance)
-        if facts.not_run:
-            if facts.replaced:
+        metadata = read_response_metadata(head.status, head.headers, reader.record.instance)
+        if metadata.not_run:
+            if metadata.replaced:
                 raise UpstreamLeavingError(f"{reader.name} was replaced at its address")
             raise UpstreamBusyError(f"{reader.name} refused with {head.status}")
-        if head.status != 200 or facts.request_id not in (b"", ctx.facts.request_id):
+        if head.status != 200 or metadata.request_id not in (b"", ctx.request_metadata.request_id):
             raise UpstreamBrokenError(f"{reader.name} answered {head.status}")
         return read_handle(content)
 
@@ -196,6 +196,6 @@
 
 
 def find_source_address(booking: Booking) -> tuple[str, int] | None:
-    """Return the address to fetch KV cache from; None if the engine prefills all of the rest."""
+    """Return the address to fetch KV cache from; None if there is nothing to fetch."""
     source = booking.source
     return None if source is None or source.leaving else source.record.address
