--- a/src/swifttrestle/internal/coordination/actors.py
+++ b/src/swifttrestle/internal/coordination/actors.py
@@ -55,7 +55,7 @@
             elif isinstance(message, Release):
                 self.release()
         except Exception:
-            logger.exception("actor step failed")
+            logger.exception("actor step failed; the actor continues with its next message")
 
     def step(self, config: ResourceSet) -> None:
         """Run one step with `config`."""
@@ -119,7 +119,7 @@
         self._written: dict[str, dict] = {}
 
     def step(self, config: ResourceSet) -> None:
-        """Write changed status objects; after a failure the next step tries again."""
+        """Write changed status objects; after a failure, the next step retries."""
         for name, status in self._collect().items():
             if self._written.get(name) == status:
                 continue
--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -1,4 +1,4 @@
-"""Selects the host that contends for the duty lease, so that hosts do not write against each other.
+"""Selects the host that contends for the duty lease, which avoids conflicting writes by hosts.
 
 Only the lease decides which host performs the duties.
 """
@@ -51,7 +51,7 @@
         return not self.leaving and self._me.host in self.list_candidates()[:2]
 
     def find_holder(self, zone: str) -> str:
-        """Return the host of a zone that reports that it holds the lease, or ""."""
+        """Return the host of a zone that reports holding the lease, or ""."""
         if self.holds_duty_lease:
             return self._me.host
         now = self._now()
--- a/src/swifttrestle/internal/coordination/capacity.py
+++ b/src/swifttrestle/internal/coordination/capacity.py
@@ -26,13 +26,13 @@
 PLAN_INTERVAL_SECONDS = 0.5
 # Time beyond a service's declared boot time after which an order without effect is retried.
 BOOT_GRACE_SECONDS = 3.0
-# Share of the planned reclaimable upstreams that must run before roles are planned. Zones may be
-# out of capacity for the last ones, and load may arrive meanwhile.
+# Share of the planned reclaimable upstreams that must run before roles are planned. Zones may
+# lack capacity for the others, and load may arrive meanwhile.
 SETTLED_SHARE = 0.8
 # Time beyond the declared boot time within which most new upstreams are listed.
 LISTING_DELAY_SECONDS = 1.2
 # Time for which the number of listed upstreams must not grow before it counts as complete. Until
-# then no upstream is released, since a plan by a part of the list would release too many.
+# then no upstream is released, since a plan based on part of the list would release too many.
 STABLE_LIST_SECONDS = 2.0
 # Time before an order that was refused or not answered is retried.
 RETRY_SECONDS = 2.0
@@ -90,7 +90,7 @@
         self.needs: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Plan and order periodically for the life of the process; return without a client."""
+        """Plan and order periodically until cancelled; return at once without a client."""
         if self._api_client is None:
             return
         while True:
@@ -129,35 +129,35 @@
         plans = choose_capacity_policy(scaling, len(zones)).plan(scaling, zones, need)
         self._store_plans(service, plans, need)
         self._count_cost(service, scaling, zones)
-        running = {item.zone: item for item in zones}
+        current_by_zone = {item.zone: item for item in zones}
         for plan in plans:
-            here = running[plan.zone]
+            current = current_by_zone[plan.zone]
             await self._order(
-                service, plan.zone, True, plan.reclaimable, here.reclaimable, scaling, api_client
+                service, plan.zone, True, plan.reclaimable, current.reclaimable, scaling, api_client
             )
             # While the list still grows, no non-reclaimable upstream is released.
             if service in self._needs:
                 await self._order(
-                    service, plan.zone, False, plan.lasting, here.lasting, scaling, api_client
+                    service, plan.zone, False, plan.lasting, current.lasting, scaling, api_client
                 )
 
     def _find_need(
         self, service: str, instances: list[Instance], zones: list[ZoneUpstreams], now: float
     ) -> int:
-        """Return the number of upstreams to plan for, and remember it once the list is complete."""
+        """Return the number of upstreams to plan for; store it once the list is complete."""
         peak = self._needs.get(service)
         if peak is None:
-            first, is_complete = self._find_first_need(service, zones, now)
+            initial_need, is_complete = self._find_initial_need(service, zones, now)
             if not is_complete:
-                return first
+                return initial_need
             peak = self._needs[service] = PeakNeed()
-            peak.note(first, now)
+            peak.note(initial_need, now)
         return peak.note(estimate_need(instances, self._demand.total(service, now)), now)
 
-    def _find_first_need(
+    def _find_initial_need(
         self, service: str, zones: list[ZoneUpstreams], now: float
     ) -> tuple[int, bool]:
-        """Return the need to begin with, and whether it is complete.
+        """Return the initial need, and whether it is based on a complete list.
 
         This is the need that a former holder recorded. Without one, it is the number of running
         upstreams, which operators chose, once the list has stopped growing. After the first orders,
@@ -330,10 +330,12 @@
     @staticmethod
     def _is_due(last: SentOrder, running: int, scaling: Scaling) -> bool:
         """Return whether to retry an order that was not accepted or has had no effect."""
-        since = _now() - last.sent_at
+        elapsed_seconds = _now() - last.sent_at
         if last.outcome is not CallOutcome.TAKEN:
-            return since >= RETRY_SECONDS
-        return running != last.count and since >= scaling.boot_seconds + BOOT_GRACE_SECONDS
+            return elapsed_seconds >= RETRY_SECONDS
+        return (
+            running != last.count and elapsed_seconds >= scaling.boot_seconds + BOOT_GRACE_SECONDS
+        )
 
 
 def _count_kinds(instances: list[Instance], zone: str) -> tuple[int, int]:
--- a/src/swifttrestle/internal/coordination/conditional_writes.py
+++ b/src/swifttrestle/internal/coordination/conditional_writes.py
@@ -71,7 +71,7 @@
     name: str,
     change: Callable[[dict[str, Any] | None], dict[str, Any] | None],
 ) -> StoredObject | None:
-    """Read, change and write an object, and retry on conflict; raise ConflictError at last.
+    """Read, change and write an object; raise ConflictError after MAX_ATTEMPTS conflicts.
 
     Nothing is written if `change` returns None.
     """
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -23,11 +23,11 @@
 from swifttrestle.platform.records import CONFIG_KIND, CONFIG_NAME, read_configuration
 from swifttrestle.platform.store import WATCH_SECONDS, ObjectStore
 
-# First and longest backoff after a failed call, in seconds.
+# Initial and maximum backoff after a failed call, in seconds.
 FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 0.5
-# Maximum length of a watch for each live host, in seconds. Watches that end at different times have
-# some host of the fleet call the store about once a second, even if all current connections have
-# become unresponsive; peers then receive new versions from that host.
+# Maximum seconds of a watch, for each live host. Watches end at different times, so some host makes
+# a new call about once a second and notifies its peers of a new version, even if no open connection
+# responds.
 WATCH_SECONDS_PER_HOST = 1.0
 MIN_WATCH_SECONDS = 2.0
 # Seconds between checks of whether peers still keep this host up to date.
@@ -224,8 +224,8 @@
         return max_seconds * (MIN_WATCH_SHARE + (1 - MIN_WATCH_SHARE) * self._rng.random())
 
     async def _back_off(self, error: PlatformUnavailableError) -> None:
-        # After a broken watch the store may have dropped the history in between, and a new watch
-        # would miss it: read again.
+        # After an interrupted watch, the store may have dropped the changes made since. A new watch
+        # would miss them, so the entry is read again.
         self._revision = NO_REVISION
         self._failures += 1
         if self._failures == 2:
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -29,8 +29,8 @@
 WATCH_SECONDS = 1.6
 # Seconds of a watch on a relaying host, whose peers treat its silence as a fault.
 RELAYING_WATCH_SECONDS = MIN_CALL_INTERVAL_SECONDS
-# First and longest backoff after a failed call, in seconds. They delay the time from which removals
-# are trusted again after an outage.
+# Initial and maximum backoff after a failed call, in seconds. They delay the time from which
+# removals are trusted again after an outage.
 FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 0.4
 # Seconds without a relayed message after which a host reads the list itself. Must be less than
 # the time in which a draining upstream must stop getting new work.
@@ -85,7 +85,7 @@
         # Seconds of the pause before the current call.
         self._pause_seconds = 0.0
         self._failures = 0
-        self._away = False
+        self._is_store_unreachable = False
         # Number of outages that are over. A short one may pass between two reads of
         # `store_unreachable`.
         self.store_recoveries = 0
@@ -101,7 +101,7 @@
     @property
     def store_unreachable(self) -> bool:
         """Whether this host's latest calls to the store failed."""
-        return self._away
+        return self._is_store_unreachable
 
     def count_store_seconds(self) -> float:
         """Return for how many seconds the store has answered this host without interruption."""
@@ -160,7 +160,7 @@
         self._relay_changes(self._revision, (), ())
 
     def _begin_epoch(self, snapshot: Snapshot) -> None:
-        """Prepare for the first list after a restore of the store, which is outdated."""
+        """Prepare for the first list after a restore of the store; the list may be outdated."""
         now = self._now()
         self._availability.record_outage()
         self._availability.record_answer(now)
@@ -175,10 +175,10 @@
         )
 
     async def _watch(self) -> None:
-        longest = WATCH_SECONDS - self._pause_seconds
-        wait = RELAYING_WATCH_SECONDS if self._relay.should_relay() else longest
+        max_seconds = WATCH_SECONDS - self._pause_seconds
+        watch_seconds = RELAYING_WATCH_SECONDS if self._relay.should_relay() else max_seconds
         since = self._revision
-        seen = await self._store.watch(UPSTREAM_KIND, since, wait)
+        seen = await self._store.watch(UPSTREAM_KIND, since, watch_seconds)
         self._note_answer()
         if self._restored_entries.drop_expired(self._now()):
             self._must_list = True
@@ -310,8 +310,8 @@
         now = self._now()
         self._fleet.confirmed_at = now
         self._availability.record_answer(now)
-        if self._away:
-            self._away = False
+        if self._is_store_unreachable:
+            self._is_store_unreachable = False
             self.store_recoveries += 1
             self.removals.note_outage_end(now)
             log_event("store regained", by="discovery")
@@ -323,8 +323,8 @@
             self.removals.note_outage(self._availability.last_answer_at)
         self._availability.record_outage()
         self._failures += 1
-        if self._failures >= FAILURES_FOR_OUTAGE and not self._away:
-            self._away = True
+        if self._failures >= FAILURES_FOR_OUTAGE and not self._is_store_unreachable:
+            self._is_store_unreachable = True
             log_event("store lost", by="discovery", reason=str(error))
         await asyncio.sleep(
             draw_backoff(self._rng, self._failures, FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -45,16 +45,18 @@
         """Create the duties; `list_tasks` returns the coroutines that run them."""
         self._host = settings.host
         self._gossip = gossip
-        bounds, enabled = settings.bounds, settings.duties
-        api_client = DutyApiClient(enabled.address, ConnectionPool()) if enabled else None
-        # The IP tells machines of the same name apart.
+        bounds, duty_settings = settings.bounds, settings.duties
+        api_client = (
+            DutyApiClient(duty_settings.address, ConnectionPool()) if duty_settings else None
+        )
+        # The IP distinguishes machines of the same name.
         holder = f"{settings.host}@{settings.ip}"
         self.lease = DutyLeaseManager(store, "roles", holder, incarnation, bounds.lease, skipped)
         self.usage = UsageDuty(
             f"{settings.host} {incarnation}",
             socket,
             self.lease,
-            api_client if enabled and enabled.usage else None,
+            api_client if duty_settings and duty_settings.usage else None,
             self._list_collectors,
             self._holds_lease,
             freshness_monitor.requires_keys,
@@ -64,7 +66,7 @@
         )
         self.capacity = CapacityDuty(
             self.lease,
-            api_client if enabled and enabled.scaling else None,
+            api_client if duty_settings and duty_settings.scaling else None,
             state.fleet,
             state.demand,
             find_configuration,
--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -1,9 +1,9 @@
 """The lease under which one gateway at a time performs the duties.
 
 Its holder orders engines to change roles, orders upstreams, and reports usage. Engines and the
-platform may accept an order from any host, so holders are separated by time alone: a challenger
-takes the lease only after it has seen it unchanged for its duration, and a holder sends an order
-only within a short time of the write that recorded it.
+platform may accept an order from any host, so only timing keeps two holders from acting at once: a
+challenger takes the lease only after it has seen it unchanged for its duration, and a holder sends
+an order only within a short time of the write that recorded it.
 
 A store that was restored from a copy has lost the latest leases. A lease is therefore valid only in
 the epoch in which it was taken. After a restore, all hosts wait until orders that were recorded
--- a/src/swifttrestle/internal/coordination/entries.py
+++ b/src/swifttrestle/internal/coordination/entries.py
@@ -1,4 +1,4 @@
-"""Validates entries of the store; logs each invalid one once and goes on with the others."""
+"""Validates entries of the store; logs each invalid one once and continues with the others."""
 
 import zlib
 from collections import OrderedDict
@@ -11,7 +11,7 @@
 from swifttrestle.platform.objects import MalformedObject, StoredObject
 from swifttrestle.platform.records import UPSTREAM_KIND, read_upstream
 
-# Invalid entries that are remembered as logged already.
+# Maximum number of logged entries that are remembered, so that each is logged only once.
 MAX_REMEMBERED_ENTRIES = 1000
 
 CountSkipped = Callable[[str, str], None]
@@ -28,7 +28,7 @@
     def skip(self, kind: str, name: str, error: BadEntryError, content: object) -> None:
         """Log and count an invalid entry; `name` is empty if it cannot be read."""
         digest = zlib.crc32(repr(content).encode("utf-8", "replace"))
-        # Entries without a name are told apart by their content.
+        # Entries without a name are identified by their content.
         key = (kind, name or str(digest))
         if self._logged.get(key) == digest:
             return
--- a/src/swifttrestle/internal/coordination/exchange.py
+++ b/src/swifttrestle/internal/coordination/exchange.py
@@ -86,7 +86,7 @@
             if request == CONFIGURATION_REQUEST:
                 await self._write_copy(writer)
         except (OSError, TimeoutError, ValueError) as error:
-            log_event("peer stream ended", reason=repr(error))
+            log_event("configuration request of a peer failed", reason=repr(error))
             writer.transport.abort()
         finally:
             writer.close()
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -107,7 +107,7 @@
                 self._read_interval_seconds if self._is_reader() else self._query_interval_seconds
             )
             pause *= 1 + JITTER_SHARE * (self._rng.random() - 0.5)
-            # A slow call shortens the pause, to half of it at most.
+            # A slow call shortens the pause by up to half.
             await asyncio.sleep(max(pause / 2, pause - (_now() - began)))
 
     async def _renew_confirmation(self) -> None:
@@ -118,7 +118,7 @@
     def _relies_on_peers(self) -> bool:
         """Return whether this host relies on its peers to learn of new configuration versions.
 
-        Their replies are dated: once the last confirmation is too old, this host watches the store.
+        Replies contain the age of a confirmation; if it is too old, this host watches the store.
         """
         is_large = is_large_fleet(len(self._list_members()))
         return (
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -125,7 +125,7 @@
         return self.recipients.list_members()
 
     def has_caught_up(self) -> bool:
-        """Return whether this host has heard from its peers and none has a newer version.
+        """Return whether this host has received peers' reports and none has a newer version.
 
         The store alone is not sufficient, since it may have been restored from an older copy.
         """
@@ -305,7 +305,7 @@
         if report.host == self._me.host:
             return
         now = self._now()
-        joined = self._note_heard(
+        joined = self._record_heartbeat(
             Heartbeat(
                 Member(report.host, report.ip, report.zone, report.link_mbps),
                 report.incarnation,
@@ -352,7 +352,7 @@
             holds_duty_lease=holds,
             store_unreachable=summary.store_unreachable,
         )
-        self._note_heard(heartbeat)
+        self._record_heartbeat(heartbeat)
         for holder in self.recipients.list_named([summary.role_holder]):
             holder.held_duty_lease_at = now
         if summary.zone == self._me.zone and self.recipients.is_representative():
@@ -362,7 +362,7 @@
         self._role_orders.take(summary.roles, summary.host)
         self._handle_version(summary.host, ip, summary.config_version)
 
-    def _note_heard(self, heartbeat: Heartbeat) -> bool:
+    def _record_heartbeat(self, heartbeat: Heartbeat) -> bool:
         joined = self._peers.record_heartbeat(heartbeat, self._now())
         if joined or heartbeat.leaving:
             self._log_live()
--- a/src/swifttrestle/internal/coordination/hosts.py
+++ b/src/swifttrestle/internal/coordination/hosts.py
@@ -38,7 +38,7 @@
             self._listed = listed
 
     def is_gone(self, host: str) -> bool:
-        """Return whether the host is gone; the first call for an unlisted host starts its time."""
+        """Return whether the host is gone; the first call for an unlisted host starts its timer."""
         with self._lock:
             if not self._listed or host in self._listed:
                 return False
--- a/src/swifttrestle/internal/coordination/leases.py
+++ b/src/swifttrestle/internal/coordination/leases.py
@@ -113,7 +113,7 @@
         return self.lease.token
 
     def tick(self) -> None:
-        """Renew or contend for the lease if it is time to; after a failure, retry at next tick."""
+        """Renew or contend for the lease when due; after a failure, retry at the next tick."""
         try:
             if self.lease is not None:
                 self._renew_if_due()
--- a/src/swifttrestle/internal/coordination/listing_relay.py
+++ b/src/swifttrestle/internal/coordination/listing_relay.py
@@ -24,7 +24,8 @@
     ) -> None:
         """Use the host's socket and its view of the live hosts.
 
-        A host that `has_duty` watches the list itself, to notice a broken path to the store.
+        A host for which `has_duty` is true watches the list itself, to notice a broken path to the
+        store.
         """
         self._has_duty = has_duty
         self._socket = socket
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -139,7 +139,7 @@
         return [view for name in names if (view := self.view(name))]
 
     def members(self, role: str) -> dict[str, Identity]:
-        """Return all processes of a role that are registered or heard from, by name."""
+        """Return all processes of a role that are registered or send heartbeats, by name."""
         found = {}
         for stored in self._cache.all(MEMBER):
             identity = read_member(stored)
@@ -161,7 +161,9 @@
             if stored and stored.spec.get("incarnation") == self.identity.incarnation:
                 self._api.delete(MEMBER, self.identity.name, stored.version)
         except (PlatformUnavailableError, ConflictError):
-            log_warning("member object not deleted")
+            log_warning(
+                "member object not deleted; it stays until a restart or until the host is gone"
+            )
         self._stopped.set()
         self.announce()
 
@@ -304,7 +306,11 @@
                 return
             if old is None or old.identity.incarnation < message.identity.incarnation:
                 old = PeerView(message.identity, {}, {}, {}, 0.0)
-                log_info("peer heard", peer=name, incarnation=message.identity.incarnation)
+                log_info(
+                    "first heartbeat of a peer received",
+                    peer=name,
+                    incarnation=message.identity.incarnation,
+                )
             if message.leaving:
                 self._views.pop(name, None)
                 return
--- a/src/swifttrestle/internal/coordination/pools.py
+++ b/src/swifttrestle/internal/coordination/pools.py
@@ -324,7 +324,7 @@
         view.reason = "sent: outcome unknown, waits for the engine to report it"
 
     def _is_overdue(self, view: EngineView) -> bool:
-        """Return whether an engine has answered for long without reporting a sent order."""
+        """Return whether an engine that answers has not reported a sent order in time."""
         if view.unseen_since is None:
             view.unseen_since = self._clock.now()
         return self._clock.now() - view.unseen_since > UNCONFIRMED_ORDER_TIMEOUT_SECONDS
--- a/src/swifttrestle/internal/coordination/prompt_cache_loader.py
+++ b/src/swifttrestle/internal/coordination/prompt_cache_loader.py
@@ -33,9 +33,9 @@
 # Timeouts in seconds of the response's first byte and between its bytes. The whole response has
 # none, so that slow links can complete it.
 TIMEOUTS = CallTimeouts(head=0.5, between_bytes=0.5)
-# Engines that a host queries at most.
+# Maximum number of engines that a host queries.
 MAX_QUERIED_ENGINES = 16
-# Maximum size of an engine's list in bytes, about ten thousand parts.
+# Maximum size of an engine's list in bytes.
 MAX_LIST_BYTES = 1024 * 1024
 
 
--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Persists quarantined requests in the platform's store, in case all hosts lose their memory.
+"""Persists quarantined requests in the platform's store, so that they survive a loss of all hosts.
 
 One object holds all of them. Each host reads it once, at its start. One host, found by a hash,
 writes it when a request is quarantined or cleared.
@@ -27,8 +27,7 @@
 
 QUARANTINE_KIND = "swifttrestle-quarantine"
 QUARANTINE_NAME = "requests"
-# Requests that the object holds at most, those with the latest crashes first: about 100 kB, a tenth
-# of the largest object.
+# Maximum number of requests in the object, which keeps those with the latest crashes.
 MAX_STORED_REQUESTS = 512
 # Log event of a failed read or write.
 NOT_STORED_EVENT = "quarantine not written"
--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -14,8 +14,8 @@
 from swifttrestle.platform.store import ObjectStore
 
 PEER_KIND = "swifttrestle-peers"
-# Seconds for each host of the fleet over which the hosts spread their calls after a restore of the
-# store: 20 calls per second of the whole fleet.
+# Seconds for each host of the fleet over which hosts spread their calls after a restore of the
+# store, which limits the rate of the fleet's calls.
 RESTORE_SPREAD_SECONDS_PER_HOST = 0.05
 
 
@@ -36,7 +36,7 @@
         for item in snapshot.items:
             _add_peer(item, peers, skipped)
 
-    await retry_until_done(write_and_read, "peers not read", rng)
+    await retry_until_done(write_and_read, "own address not registered or peers not read", rng)
 
 
 async def restore_registration(
@@ -56,7 +56,7 @@
     except NotFoundError:
         await store.create(PEER_KIND, me.host, spec)
     except BadEntryError:
-        # Another writer's invalid entry stands under this host's name: overwrite it.
+        # Another writer stored an invalid entry under this host's name; it is overwritten.
         await store.replace(PEER_KIND, me.host, spec, None)
 
 
--- a/src/swifttrestle/internal/coordination/removals.py
+++ b/src/swifttrestle/internal/coordination/removals.py
@@ -1,9 +1,9 @@
 """Decides when instances that are missing from the discovery list are removed.
 
 A record may be missing because its upstream withdrew it, or because it expired during an outage of
-the store; in the second case the upstream writes it again soon after the outage. A host whose own
-path to the store failed cannot tell an outage by itself. Peers that the store kept answering can
-show that there was none.
+the store; in the second case the upstream writes it again soon after the outage. A host cannot
+distinguish an outage from a failure of its own path to the store, unless the store kept answering
+some peer.
 """
 
 import asyncio
@@ -16,10 +16,9 @@
 from swifttrestle.internal.state.peers import NEVER
 from swifttrestle.internal.state.store_epochs import StoreRevision
 
-# Seconds after an outage in which upstreams may write expired records again; the platform specifies
-# about two.
+# Seconds after an outage in which upstreams may write expired records again.
 REREGISTRATION_SECONDS = 2.2
-# Poll interval in seconds of held back removals, since a peer may show that there was no outage.
+# Poll interval in seconds of held back removals; a peer's report may release them earlier.
 POLL_SECONDS = 0.2
 
 
@@ -118,7 +117,7 @@
             self._timer = asyncio.get_running_loop().call_later(POLL_SECONDS, self._drop_due)
 
     def _drop_due(self) -> None:
-        """Drop instances whose time is over, without waiting for the store's next answer."""
+        """Drop instances whose hold has expired, without waiting for the store's next answer."""
         self._timer = None
         now = self._now()
         by_peers = self._find_trusted_at_by_peers()
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -140,7 +140,7 @@
         self._seen_recoveries = recoveries
 
     async def _stand_by(self) -> None:
-        """Read the lease now and then, so that its age is known when a takeover is due."""
+        """Read the lease periodically, so that its age is known when a takeover is due."""
         now = asyncio.get_running_loop().time()
         if now < self._next_standby_read or not self._candidates.is_next_candidate():
             return
--- a/src/swifttrestle/internal/coordination/store_availability.py
+++ b/src/swifttrestle/internal/coordination/store_availability.py
@@ -2,8 +2,8 @@
 
 from swifttrestle.internal.state.peers import NEVER
 
-# Time after the last answer for which the store still counts as available. It exceeds a watch of
-# 1.6 s with its margin of 0.8 s, the longest regular time between two answers.
+# Time after the last answer for which the store still counts as available. Exceeds the
+# maximum duration of a watch with its margin, the longest regular time between two answers.
 ANSWER_TIMEOUT_SECONDS = 3.0
 
 
@@ -33,7 +33,7 @@
     def find_available_seconds(self, now: float) -> float:
         """Return the seconds for which the store has answered without interruption, or 0.
 
-        Peers rely on it as proof that the store was available in that time.
+        Peers conclude from it that the store had no outage in that time.
         """
         if now - self.last_answer_at > ANSWER_TIMEOUT_SECONDS:
             return 0.0
--- a/src/swifttrestle/internal/coordination/store_retry.py
+++ b/src/swifttrestle/internal/coordination/store_retry.py
@@ -7,7 +7,7 @@
 from swifttrestle.errors import ConflictError, PlatformUnavailableError
 from swifttrestle.internal.event_log import log_event
 
-# Shortest time between two attempts, and the largest jitter added to it. Jitter keeps hosts from
+# Minimum seconds between two attempts, and the maximum jitter added. Jitter keeps hosts from
 # calling all at once when the store becomes available again.
 RETRY_SECONDS = 1.0
 
--- a/src/swifttrestle/internal/coordination/zone_demand.py
+++ b/src/swifttrestle/internal/coordination/zone_demand.py
@@ -33,7 +33,7 @@
         self._meter.note_peer(host, _decode(demand))
 
     def update_zone(self, zone: str, demand: EncodedDemand, now: float) -> None:
-        """Store the demand of a zone, in place of that of its single hosts."""
+        """Store the demand of a zone, in place of that of its hosts."""
         for peer in self._peers.peers.values():
             if peer.zone == zone:
                 self._meter.forget_peer(peer.host)
--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -445,7 +445,7 @@
     discovery = gateway(site)._discovery
     await wait_until(lambda: candidates.holds_duty_lease, "lease")
     candidates.mark_store_unreachable(60.0)
-    discovery._away = True
+    discovery._is_store_unreachable = True
     discovery._note_answer()
     await wait_until(lambda: not candidates.store_unreachable, "candidate again")
 
