--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -173,11 +173,11 @@
 
 
 def test_a_summary_of_the_largest_fleet_fits_one_packet():
-    marks = tuple(RosterConfirmation(bytes([n] * 8), 1.234) for n in range(26))
+    confirmations = tuple(RosterConfirmation(bytes([n] * 8), 1.234) for n in range(26))
     demand = {f"model-{n:02}": (123456.0, 123.45, 12.34) for n in range(11)}
     summary = RosterSummary(
         "front-kirkos-hall-61", "kirkos-hall", 1000.0, 1 << 62, 38000, False,
-        "front-kirkos-hall-1", marks[0], marks[1:], demand,
+        "front-kirkos-hall-1", confirmations[0], confirmations[1:], demand,
     )  # fmt: skip
     assert len(pack_roster_message(summary)) < 1400
 
@@ -329,8 +329,12 @@
         far_table.record_heartbeat(make_heartbeat(item), 12.1)
     # The first host has been silent for too long.
     far.send(summarise(far, FAR), [OTHER])
-    (mark,) = other.list_others(other.refresh_own())
-    assert {item.host for item in other._known[mark.digest].members} == {"far", "h001", "h002"}
+    (confirmation,) = other.list_others(other.refresh_own())
+    assert {item.host for item in other._known[confirmation.digest].members} == {
+        "far",
+        "h001",
+        "h002",
+    }
 
 
 def test_a_host_that_was_only_reported_is_in_no_roster_of_this_host():
@@ -339,7 +343,7 @@
     table, mine = make_rosters(network, ME, clock)
     other.send(summarise(other, OTHER), [ME])
     assert "gone" in names(table, 10.0)
-    # Otherwise two hosts that relay each other's reports would keep a lost host live for ever.
+    # Otherwise two hosts that relay each other's reports would report a lost host as live forever.
     assert [member.host for member in mine._known[mine.refresh_own().digest].members] == ["me"]
 
 
@@ -363,7 +367,7 @@
     assert names(table, 10.0) == ["me"]
 
 
-def test_rosters_that_are_no_longer_confirmed_are_forgotten():
+def test_rosters_that_are_no_longer_confirmed_are_discarded():
     network, clock = InstantNetwork(), [10.0]
     _, mine = make_rosters(network, ME, clock)
     mine.refresh_own()
@@ -506,7 +510,7 @@
     assert candidates.is_candidate()
 
 
-def test_a_host_without_the_store_is_no_candidate_until_its_report_is_old():
+def test_a_host_that_cannot_reach_the_store_is_no_candidate_until_its_report_is_old():
     clock = [10.0]
     first = list_candidates(clock)[0]
     _, candidates = make_candidates(first, clock)
@@ -514,12 +518,12 @@
     assert not candidates.is_candidate()
     clock[0] = 11.0
     assert not candidates.is_candidate()
-    other, others = make_candidates(first, clock)
-    assert others.is_candidate()
+    other_table, other_candidates = make_candidates(first, clock)
+    assert other_candidates.is_candidate()
     clock[0] = 13.1
     for item in HOSTS:
-        other.note_reported([item], 13.0, 13.0)
-    assert others.is_candidate()
+        other_table.note_reported([item], 13.0, 13.0)
+    assert other_candidates.is_candidate()
 
 
 @pytest.mark.parametrize(
@@ -541,7 +545,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answers", "broken", "asked_at", "expected"),
+    ("answers", "interrupted", "asked_at", "expected"),
     [
         ((1.0, 3.4, 5.8), False, 6.0, 5.0),
         # The store may have been unavailable in a gap that is longer than any call.
@@ -552,11 +556,11 @@
     ],
 )
 def test_the_store_counts_as_available_from_the_first_answer_after_an_outage(
-    answers, broken, asked_at, expected
+    answers, interrupted, asked_at, expected
 ):
-    contact = StoreAvailability()
+    availability = StoreAvailability()
     for at in answers:
-        contact.record_answer(at)
-    if broken:
-        contact.record_outage()
-    assert contact.find_available_seconds(asked_at) == expected
+        availability.record_answer(at)
+    if interrupted:
+        availability.record_outage()
+    assert availability.find_available_seconds(asked_at) == expected
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -1,4 +1,4 @@
-"""How soon all hosts know of a request that crashes upstreams, and how many datagrams that costs.
+"""How soon all hosts know of a request that crashes upstreams, and how many datagrams that takes.
 
 Uses real relays and guards with a simulated network in virtual time.
 """
@@ -23,11 +23,11 @@
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 from swifttrestle_standins.virtual_time import run_in_virtual_time
 
-# Longest delay of a datagram in seconds.
+# Maximum delay of a datagram in seconds.
 DATAGRAM_SECONDS = 0.02
 # Seconds within which all hosts must know of a crash.
 BOUND_SECONDS = 3.0
-# Datagrams of one crash with 48 open requests in a large fleet, at most: two owners of each record.
+# Maximum datagrams of one crash with 48 open requests in a large fleet: two owners of each record.
 DATAGRAMS_PER_CRASH = 2 * 48 * (1 + quarantine_relay.CRASH_REPEATS)
 
 
@@ -80,19 +80,19 @@
     def change(self):
         self.changes += 1
 
-    def observe_crash(self, names, start):
+    def observe_crash(self, fingerprints, start):
         """Report a crash of an upstream as this host would observe it."""
-        self.guard.report_crash(names, Crash(start, now()))
+        self.guard.report_crash(fingerprints, Crash(start, now()))
 
-    def refuses(self, name):
-        return self.guard.quarantine.find_wait(name, now()) > 0
+    def refuses(self, fingerprint):
+        return self.guard.quarantine.find_wait(fingerprint, now()) > 0
 
 
 def now():
     return asyncio.get_running_loop().time()
 
 
-def make_name(number=7):
+def make_fingerprint(number=7):
     return RequestFingerprint(bytes(8), random.Random(number).randbytes(8))
 
 
@@ -120,7 +120,7 @@
     began = now()
     while not check():
         await asyncio.sleep(0.01)
-        assert now() - began < 60, "it does not come"
+        assert now() - began < 60, "the condition did not hold within 60 s"
     return now() - began
 
 
@@ -135,8 +135,8 @@
         async def scenario():
             await asyncio.sleep(5 * PUSH_SECONDS)
             for number, host in enumerate(observers):
-                host.observe_crash([make_name()], f"i-{number}")
-            return await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
+                host.observe_crash([make_fingerprint()], f"i-{number}")
+            return await wait_for(lambda: all(host.refuses(make_fingerprint()) for host in hosts))
 
         return await with_relays(hosts, scenario())
 
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("count", [8, 65, 195])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_hosts_that_were_cut_off_learn_of_crashes_soon_after_they_are_back(count, seed):
+def test_hosts_that_were_cut_off_learn_of_crashes_soon_after_they_reconnect(count, seed):
     async def work():
         network, hosts = make_hosts(count, seed)
 
@@ -155,11 +155,11 @@
             network.cut = {host.member.ip for host in hosts if host.member.zone == "z0"}
             outside = [host for host in hosts if host.member.zone != "z0"]
             for number, host in enumerate(outside[:2]):
-                host.observe_crash([make_name()], f"i-{number}")
-            await wait_for(lambda: all(host.refuses(make_name()) for host in outside))
+                host.observe_crash([make_fingerprint()], f"i-{number}")
+            await wait_for(lambda: all(host.refuses(make_fingerprint()) for host in outside))
             await asyncio.sleep(2.0)
             network.cut = set()
-            return await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
+            return await wait_for(lambda: all(host.refuses(make_fingerprint()) for host in hosts))
 
         return await with_relays(hosts, scenario())
 
@@ -175,12 +175,12 @@
         async def scenario():
             late_receiver = network.receivers[late.member.ip]
             network.receivers[late.member.ip] = lambda *_: None
-            hosts[0].observe_crash([make_name()], "i-0")
-            hosts[0].observe_crash([make_name()], "i-1")
-            await wait_for(lambda: all(host.refuses(make_name()) for host in hosts[:-1]))
+            hosts[0].observe_crash([make_fingerprint()], "i-0")
+            hosts[0].observe_crash([make_fingerprint()], "i-1")
+            await wait_for(lambda: all(host.refuses(make_fingerprint()) for host in hosts[:-1]))
             network.receivers[late.member.ip] = late_receiver
             task = asyncio.ensure_future(late.relay.run())
-            seconds = await wait_for(lambda: late.refuses(make_name()))
+            seconds = await wait_for(lambda: late.refuses(make_fingerprint()))
             task.cancel()
             return seconds
 
@@ -196,17 +196,19 @@
 
         async def scenario():
             for number in range(2):
-                hosts[0].observe_crash([make_name()], f"i-{number}")
-            await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
-            hosts[-1].guard.clear_crashes(make_name())
-            return await wait_for(lambda: not any(host.refuses(make_name()) for host in hosts))
+                hosts[0].observe_crash([make_fingerprint()], f"i-{number}")
+            await wait_for(lambda: all(host.refuses(make_fingerprint()) for host in hosts))
+            hosts[-1].guard.clear_crashes(make_fingerprint())
+            return await wait_for(
+                lambda: not any(host.refuses(make_fingerprint()) for host in hosts)
+            )
 
         seconds = await with_relays(hosts, scenario())
         return seconds, max(len(host.guard.quarantine) for host in hosts)
 
-    seconds, left = run_in_virtual_time(work())
+    seconds, remaining = run_in_virtual_time(work())
     assert seconds <= 0.1
-    assert left == 0
+    assert remaining == 0
 
 
 @pytest.mark.parametrize("count", [8, 195])
@@ -217,15 +219,17 @@
 
         async def scenario():
             for number in range(2):
-                hosts[0].observe_crash([make_name()], f"i-{number}")
-            await wait_for(lambda: all(host.refuses(make_name()) for host in hosts))
+                hosts[0].observe_crash([make_fingerprint()], f"i-{number}")
+            await wait_for(lambda: all(host.refuses(make_fingerprint()) for host in hosts))
             await asyncio.sleep((quarantine_relay.CRASH_REPEATS + 1) * PUSH_SECONDS)
             network.lost_share = 0.5
-            hosts[-1].guard.clear_crashes(make_name())
+            hosts[-1].guard.clear_crashes(make_fingerprint())
             await asyncio.sleep(0.1)
             network.lost_share = 0.0
-            missed = sum(host.refuses(make_name()) for host in hosts)
-            seconds = await wait_for(lambda: not any(host.refuses(make_name()) for host in hosts))
+            missed = sum(host.refuses(make_fingerprint()) for host in hosts)
+            seconds = await wait_for(
+                lambda: not any(host.refuses(make_fingerprint()) for host in hosts)
+            )
             return missed, seconds
 
         return await with_relays(hosts, scenario())
@@ -241,7 +245,7 @@
     async def work():
         network, hosts = make_hosts(count, 1)
         for number in range(48):
-            hosts[number % count].observe_crash([make_name(number)], "i-0")
+            hosts[number % count].observe_crash([make_fingerprint(number)], "i-0")
         await asyncio.sleep(1.0)
         return network.sent, is_large_fleet(count)
 
@@ -257,7 +261,7 @@
         async def scenario():
             await asyncio.sleep(10 * PUSH_SECONDS)
             sync_messages = network.sent
-            hosts[0].observe_crash([make_name()], "i-0")
+            hosts[0].observe_crash([make_fingerprint()], "i-0")
             await asyncio.sleep((quarantine_relay.CRASH_REPEATS + 1) * PUSH_SECONDS)
             sent_before = network.sent
             await asyncio.sleep(20.0)
@@ -278,7 +282,7 @@
         async def scenario():
             for number in range(200):
                 for start in ("i-7f3a91c2aa@1764720000000", "i-02d9e6b4bb@1764720000000"):
-                    hosts[0].observe_crash([make_name(number)], start)
+                    hosts[0].observe_crash([make_fingerprint(number)], start)
             await asyncio.sleep(FIRST_QUARANTINE_SECONDS / 2)
             before = network.bytes
             await asyncio.sleep(4.0)
--- a/tests/cover/test_removals.py
+++ b/tests/cover/test_removals.py
@@ -17,19 +17,19 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize("after_return", [3.0, 3.15, 3.5, 4.2, 5.0])
+@pytest.mark.parametrize("seconds_after_outage", [3.0, 3.15, 3.5, 4.2, 5.0])
 @pytest.mark.parametrize(
     ("way", "outage_seconds"), [("silent", 5.1), ("silent", 8.6), ("busy", 5.0)]
 )
 def test_an_instance_that_is_withdrawn_after_an_outage_is_removed_in_time(
-    way, outage_seconds, after_return, seed
+    way, outage_seconds, seconds_after_outage, seed
 ):
     # Guards against held back removals that are checked only after the next watch.
     async def scenario():
         host = Host(seed)
         await asyncio.sleep(6.0 + seed * 0.37)
         await host.lose_store(way, outage_seconds)
-        await asyncio.sleep(after_return)
+        await asyncio.sleep(seconds_after_outage)
         assert host.knows("s0")
         host.store.stand_in.remove("servers", "s0")
         await asyncio.sleep(WITHDRAWAL_SECONDS)
@@ -82,7 +82,7 @@
     return host, host.discovery._revision
 
 
-def test_a_relaying_host_with_the_store_is_trusted_beside_one_that_lost_it():
+def test_a_relaying_host_that_reaches_the_store_is_trusted_although_another_lost_it():
     # Guards against holding back a trusted removal because another sender distrusts removals.
     async def scenario():
         host, revision = await start_follower()
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -1,4 +1,4 @@
-"""Removed keys: by which confirmations keys may be served, and for how long."""
+"""How long removed keys are accepted, depending on confirmations of the configuration."""
 
 import pytest
 from hypothesis import given
@@ -43,7 +43,7 @@
         (False, float("inf"), float("inf"), Verdict.UNCONFIRMED),
     ],
 )
-def test_a_key_is_judged_by_the_configuration_and_the_age_of_its_confirmation(
+def test_a_key_is_checked_by_the_configuration_and_the_age_of_its_confirmation(
     known, age, bound, wanted
 ):
     assert check_key(known, age, bound) is wanted
@@ -209,11 +209,11 @@
 )
 def test_the_time_of_day_is_the_median_of_the_hosts_clocks(clocks, own, wanted):
     clock = [50.0]
-    true_time = MedianClock(lambda: clock[0], lambda: own + clock[0] - 50.0)
+    median_clock = MedianClock(lambda: clock[0], lambda: own + clock[0] - 50.0)
     for number, wall in enumerate(clocks):
-        true_time.note(f"h{number}", wall)
+        median_clock.note(f"h{number}", wall)
     clock[0] += 1.0
-    assert true_time.now() == pytest.approx(wanted + 1.0)
+    assert median_clock.now() == pytest.approx(wanted + 1.0)
 
 
 # Declared workspaces.
