--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -18,7 +18,7 @@
 
 
 @on_site(gateways=2)
-async def test_a_new_version_is_in_force_everywhere_and_never_goes_back(site):
+async def test_a_new_version_is_in_force_everywhere_and_not_replaced_by_an_older_one(site):
     old = site.store.objects["config", "main"]["spec"]
     site.routes.append({**site.routes[2], "name": "added", "pathPrefix": "/added/"})
     version = site.declare()
@@ -36,7 +36,7 @@
     [None, 7, {}, {"version": "x"}, {"version": 99, "routes": [{}]}, {"version": 99, "routes": 3}],
 )
 @on_site()
-async def test_a_configuration_that_cannot_be_read_is_skipped_and_the_next_one_taken(site, spec):
+async def test_a_configuration_that_cannot_be_read_is_skipped_and_the_next_one_applied(site, spec):
     site.store.put("config", "main", spec)
     site.routes.append({**site.routes[2], "name": "added", "pathPrefix": "/added/"})
     version = site.declare()
@@ -67,10 +67,10 @@
 @pytest.mark.parametrize("way", ["draining", "unlisted", "role"])
 @on_site()
 async def test_an_engine_withdrawn_during_the_prefill_is_not_used_for_decoding(site, way):
-    reader = site.upstreams["e0"]
-    reader.hold.clear()
+    prefill_engine = site.upstreams["e0"]
+    prefill_engine.hold.clear()
     request = asyncio.ensure_future(ask(address_of(site), "/chat/a", "c1", X_Token_Usage=LONG))
-    await wait_until(lambda: reader.arrivals, "prefill")
+    await wait_until(lambda: prefill_engine.arrivals, "prefill")
     instances = gateway(site).list_instances()
     booked = next(site.upstreams[name] for name in ("e1", "e2") if instances[name].own.requests)
     withdraw(site, booked, way)
@@ -80,7 +80,7 @@
         return known is None or known.record.leaving or known.role is Role.PREFILL
 
     await wait_until(is_withdrawn, "the withdrawal to be noticed")
-    reader.hold.set()
+    prefill_engine.hold.set()
     answer = await request
     assert (answer.status, answer.whole) == (200, True)
     assert booked.arrivals == []
@@ -243,7 +243,7 @@
     if not listed:
         for upstream in lost:
             site.unlist_upstream(upstream)
-    left = next(
+    remaining = next(
         u for u in site.upstreams.values() if getattr(u, "role", "") == "prefill" and u is not dead
     )
 
@@ -253,7 +253,7 @@
             await asyncio.sleep(0.05)
 
     asking = asyncio.ensure_future(keep_asking())
-    await wait_until(lambda: left.role == "decode", "a new decoding engine")
+    await wait_until(lambda: remaining.role == "decode", "a new decoding engine")
     asking.cancel()
 
 
@@ -330,8 +330,8 @@
     site.declare()
     await wait_until(lambda: gateway(site).config_version == 6, "second version")
     caller = await RawCaller.connect(address_of(site))
-    decoders = site.upstreams["e1"], site.upstreams["e2"]
-    for upstream in decoders:
+    decode_engines = site.upstreams["e1"], site.upstreams["e2"]
+    for upstream in decode_engines:
         upstream.hold.clear()
     caller.send(write_request("/chat/a", "c0", X_Token_Usage=SHORT))
     await wait_until(lambda: count_runs(site, "c0") == 1, "open request")
@@ -340,7 +340,7 @@
     late = await ask(address_of(site), "/chat/a", "c1", X_Token_Usage=SHORT)
     assert (late.status, "retry-after" in late.headers) == (503, True)
     assert count_runs(site, "c1") == 0
-    for upstream in decoders:
+    for upstream in decode_engines:
         upstream.hold.set()
     assert (await caller.read_answer()).whole
 
@@ -404,13 +404,15 @@
     for name in ("e3", "e4"):
         site.unlist_upstream(site.upstreams[name])
     await wait_until(lambda: holder() != first, "another holder")
-    readers = [site.upstreams[name] for name in ("e0", "e1", "e2")]
-    await wait_until(lambda: any(item.role == "decode" for item in readers), "a decoding engine")
+    prefill_engines = [site.upstreams[name] for name in ("e0", "e1", "e2")]
+    await wait_until(
+        lambda: any(item.role == "decode" for item in prefill_engines), "a decoding engine"
+    )
 
 
 @on_site(gateways=3)
 async def test_a_new_version_is_applied_although_no_open_connection_responds(site):
-    # A watch of the configuration waits for long, and gets no answer on a dead connection.
+    # A watch of the configuration is long, and gets no answer on a dead connection.
     await wait_until(lambda: len(gateway(site).live_hosts()) == 3, "peers")
     site.silence_connections()
     site.routes.append({**site.routes[2], "name": "added", "pathPrefix": "/added/"})
@@ -427,7 +429,7 @@
 
 
 @on_site(engines=("prefill", "decode", "decode"))
-async def test_a_host_that_starts_learns_which_prompts_engines_cache(site):
+async def test_a_starting_host_loads_which_prompts_engines_cache(site):
     site.upstreams["e0"].kept = {"aa": 4000}
     await site.add_gateway("g1", 1)
     await site.wait_ready("g1")
--- a/tests/hosted/test_duties.py
+++ b/tests/hosted/test_duties.py
@@ -1,4 +1,4 @@
-"""Usage reports and scaling on a whole site, by one host at a time under the duty lease."""
+"""Usage reports and scaling on a site, by one host at a time under the duty lease."""
 
 import asyncio
 import time
@@ -178,7 +178,7 @@
 
 @on_duty_site(engines=1)
 async def test_engines_are_released_only_after_all_running_ones_are_listed(site):
-    """Engines list themselves one by one; a plan by a part of the list would release too many."""
+    """Engines list themselves one by one; a plan based on some of them would release too many."""
     await wait_for_holder(site)
     for number in range(1, 3):
         for zone in ("hall-a", "hall-b", "hall-c"):
@@ -207,10 +207,10 @@
     await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
     site.duties.reclaim("hall-b", 0.3)
     await wait_until(lambda: count_kinds(site) == (3, 6), "reclaimed")
-    calls = len(site.duties.calls)
+    calls_before = len(site.duties.calls)
     await asyncio.sleep(4.0)
-    # The order is repeated some times, and no other order is sent.
-    orders = [call for call in site.duties.calls[calls:] if call.subject != "/usage"]
+    # The order is repeated a few times, and no other order is sent.
+    orders = [call for call in site.duties.calls[calls_before:] if call.subject != "/usage"]
     assert 1 <= len(orders) <= 5
     assert {call.subject for call in orders} == {"/scale model hall-b"}
     site.duties.faults.dry_zones.clear()
--- a/tests/hosted/test_large_fleets.py
+++ b/tests/hosted/test_large_fleets.py
@@ -109,12 +109,12 @@
         site.store.faults.down = True
         site.store.wake()
         await asyncio.sleep(2.0)
-        leaving = site.upstreams["s0"]
-        site.unlist_upstream(leaving)
+        unlisted = site.upstreams["s0"]
+        site.unlist_upstream(unlisted)
         site.store.faults.down = False
         await asyncio.sleep(1.0)
         assert hosts_knowing(site, "s0") == set(site.gateways)
-        site.list_upstream(leaving)
+        site.list_upstream(unlisted)
         await asyncio.sleep(2.0)
         assert hosts_knowing(site, "s0") == set(site.gateways)
 
@@ -135,7 +135,7 @@
         assert count_runs(site, answer.headers["x-request-id"]) == 1
     await wait_until(
         lambda: not sum(item.gateway.count_open_requests() for item in site.gateways.values()),
-        "bookings given back",
+        "bookings released",
     )
 
 
--- a/tests/hosted/test_late_messages.py
+++ b/tests/hosted/test_late_messages.py
@@ -36,7 +36,9 @@
     # By then every host has sent its records to every other one.
     await asyncio.sleep(3.0)
     for name in site.gateways:
-        case = find_guard(site, name).quarantine.find(FINGERPRINT)
-        assert sorted(crash.start for crash in case.crashes) == ["e0", "e1"]
-        wait = find_guard(site, name).quarantine.find_wait(FINGERPRINT, now)
-        assert wait <= FIRST_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE) + LATE_SECONDS + 1
+        record = find_guard(site, name).quarantine.find(FINGERPRINT)
+        assert sorted(crash.start for crash in record.crashes) == ["e0", "e1"]
+        wait_seconds = find_guard(site, name).quarantine.find_wait(FINGERPRINT, now)
+        assert (
+            wait_seconds <= FIRST_QUARANTINE_SECONDS * (1 + RELEASE_JITTER_SHARE) + LATE_SECONDS + 1
+        )
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -60,19 +60,19 @@
     aggregators = {zone: find_aggregators(site, zone) for zone in ZONES}
     ordinary = set(site.gateways) - set().union(*aggregators.values())
     assert len(ordinary) == 3
-    heard = {name: set() for name in ordinary}
+    senders = {name: set() for name in ordinary}
     for name in ordinary:
         socket = site.gateways[name].gateway._gossip._socket
         receive = socket._receivers[DatagramKind.REPORT]
 
-        def note(data, ip, name=name, receive=receive):
-            heard[name].add(ip)
+        def record_sender(data, ip, name=name, receive=receive):
+            senders[name].add(ip)
             receive(data, ip)
 
-        socket.receive(DatagramKind.REPORT, note)
+        socket.receive(DatagramKind.REPORT, record_sender)
     await asyncio.sleep(2.0)
     assert knows_all(site, set(site.gateways))
-    assert heard == {name: set() for name in ordinary}
+    assert senders == {name: set() for name in ordinary}
 
 
 @on_site(gateways=3)
@@ -83,8 +83,8 @@
     lost = "hall-c-1"
     stop_host(site, lost)
     live = set(site.gateways) - {lost}
-    left = [site.gateways[name].gateway._budgets for name in live]
-    await wait_until(lambda: all(item.hosts == 8 for item in left), "eight hosts counted")
+    remaining = [site.gateways[name].gateway._budgets for name in live]
+    await wait_until(lambda: all(item.hosts == 8 for item in remaining), "eight hosts counted")
 
 
 @on_site(gateways=3)
@@ -139,19 +139,19 @@
 
 
 @on_site(gateways=3)
-async def test_a_stopping_host_is_no_longer_a_member_and_is_one_after_its_restart(site):
+async def test_a_stopping_host_is_removed_and_is_a_member_again_after_its_restart(site):
     await add_zones(site)
-    leaving = "hall-c-1"
-    site.gateways[leaving].gateway.stop()
-    live = set(site.gateways) - {leaving}
+    stopping = "hall-c-1"
+    site.gateways[stopping].gateway.stop()
+    live = set(site.gateways) - {stopping}
     async with asyncio.timeout(1.5):
         await wait_until(
-            lambda: all(leaving not in view for view in list_views(site, live).values()), "left"
+            lambda: all(stopping not in view for view in list_views(site, live).values()), "removed"
         )
-    await site.gateways[leaving].task
-    await site.add_gateway(leaving, 45, "hall-c")
+    await site.gateways[stopping].task
+    await site.add_gateway(stopping, 45, "hall-c")
     async with asyncio.timeout(10):
-        await wait_until(lambda: knows_all(site, set(site.gateways)), "back")
+        await wait_until(lambda: knows_all(site, set(site.gateways)), "a member again")
 
 
 @on_site(gateways=3, engines=("prefill", "prefill", "prefill", "decode"))
--- a/tests/hosted/test_slow_links.py
+++ b/tests/hosted/test_slow_links.py
@@ -1,4 +1,4 @@
-"""Configuration versions that take a slow link longer than a call usually takes."""
+"""Configuration versions whose transfer over a slow link takes longer than a usual call."""
 
 import asyncio
 
@@ -10,8 +10,7 @@
 from swifttrestle_standins.pieces import cut_pieces
 from tests.hosted.sites import on_site
 
-# Pieces in which an answer arrives, with a pause after each: 3 s, longer than the 2 s of a usual
-# call.
+# Number of pieces of an answer, with a pause after each: 3 s, longer than the 2 s of a usual call.
 PIECES = 12
 PAUSE_SECONDS = 0.25
 
@@ -63,8 +62,8 @@
     asking = ConfigurationExchange(pick_ip(3), port, fetched)
     asking.fetch_later("peer", pick_ip(2), watcher.version)
     try:
-        await wait_until(lambda: fetched.taken or asking._fetching.done(), "the fetch's end")
-        assert fetched.taken == [watcher.version]
+        await wait_until(lambda: fetched.received or asking._fetching.done(), "the fetch's end")
+        assert fetched.received == [watcher.version]
     finally:
         link.close()
         serving.close()
@@ -77,10 +76,10 @@
     raw = None
 
     def __init__(self):
-        self.taken = []
+        self.received = []
 
     def apply_copy(self, copy, _):
-        self.taken.append(copy.raw["version"])
+        self.received.append(copy.raw["version"])
 
 
 @on_site(gateways=2)
@@ -105,6 +104,6 @@
     await wait_until(lambda: second.config_version == version, "version in force")
     asked = f"GET /v1/objects/config?watch={revision}&"
     await wait_until(
-        lambda: sum(call.startswith(asked) for call in site.store.calls) == 2, "watches go on"
+        lambda: sum(call.startswith(asked) for call in site.store.calls) == 2, "watches continue"
     )
     assert "GET /v1/objects/config" not in site.store.calls
--- a/tests/hosted/test_starts.py
+++ b/tests/hosted/test_starts.py
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("invalid", INVALID_ENTRIES, ids=repr)
 @pytest.mark.parametrize("place", ["a-first", "z-last"])
 @on_site(gateways=2)
-async def test_an_invalid_entry_keeps_no_host_from_learning_of_changes(site, invalid, place):
+async def test_an_invalid_entry_prevents_no_host_from_receiving_changes(site, invalid, place):
     site.store.put_raw("servers", place, invalid)
     await site.add_upstream(StandInUpstream("s8", "alerts", "hall-a"))
     for name in site.gateways:
--- a/tests/hosted/test_store_restores.py
+++ b/tests/hosted/test_store_restores.py
@@ -55,8 +55,10 @@
     pytest.param({"lost": 20}, id="20 writes lost"),
     pytest.param({"lost": 400}, id="400 writes lost"),
     pytest.param({"lost": 400, "cut": False}, id="connections kept"),
-    pytest.param({"lost": 400, "outage_seconds": 0.0}, id="not away at all"),
-    pytest.param({"lost": 400, "cut": False, "outage_seconds": 0.0}, id="unseen"),
+    pytest.param({"lost": 400, "outage_seconds": 0.0}, id="no outage"),
+    pytest.param(
+        {"lost": 400, "cut": False, "outage_seconds": 0.0}, id="no outage, connections kept"
+    ),
 ]
 
 
@@ -65,7 +67,7 @@
 async def test_an_upstream_that_drains_after_a_restore_gets_no_new_work(site, way):
     await restore_without_writes(site, **way)
     site.list_upstream(site.upstreams["s0"], "draining")
-    await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
+    await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -85,7 +87,7 @@
     site.store.restore(copy)
     site.list_upstream(site.upstreams["s0"], "draining")
     write_others(site, 20)
-    await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
+    await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
 
 
 @pytest.mark.parametrize("way", WAYS[1:3])
@@ -96,7 +98,7 @@
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
     await restore_without_writes(site, **way)
     site.list_upstream(site.upstreams["s0"], "draining")
-    await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
+    await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
 
 
 @pytest.mark.parametrize("named", [b"", b"-3", b"banana", b"0", b"99999999999999999999", b"7"])
@@ -106,7 +108,7 @@
     site.store.faults.epoch_text = named
     site.list_upstream(site.upstreams["s0"], "draining")
     version = site.declare()
-    await wait_until(lambda: not hosts_using(site, "s0"), "left at all hosts")
+    await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
     await wait_in_force(site, version)
     assert not any(item.task.done() for item in site.gateways.values())
 
@@ -193,11 +195,11 @@
 @on_built(build_site_with_early_copy)
 async def test_a_host_that_starts_after_a_restore_knows_the_quarantined_requests(site):
     now = asyncio.get_running_loop().time()
-    case = CrashRecord(
+    record = CrashRecord(
         RequestFingerprint(bytes(8), b"deadly66"), (Crash("i-1", now), Crash("i-2", now))
     )
     for item in site.gateways.values():
-        item.gateway._state.guard.merge_crash_records([case], "a test")
+        item.gateway._state.guard.merge_crash_records([record], "a test")
         item.gateway._quarantine_store.note_change()
     await wait_until(lambda: (QUARANTINE_KIND, QUARANTINE_NAME) in site.store.objects, "stored")
     site.store.restore(site.early)
@@ -210,4 +212,4 @@
     started = (await site.add_gateway("g7", 7)).gateway
     guard = started._state.guard
     await wait_until(guard.quarantine.list_quarantined, "known")
-    assert guard.quarantine.list_quarantined()[0].name == case.name
+    assert guard.quarantine.list_quarantined()[0].name == record.name
--- a/tests/hosted/test_stored_quarantine.py
+++ b/tests/hosted/test_stored_quarantine.py
@@ -101,12 +101,12 @@
 @on_site(gateways=1)
 async def test_the_object_holds_a_limited_number_of_requests(site):
     now = asyncio.get_running_loop().time()
-    names = [
+    fingerprints = [
         RequestFingerprint(bytes(8), number.to_bytes(8, "big"))
         for number in range(MAX_STORED_REQUESTS + 50)
     ]
     for number in range(2):
-        find_guard(site).report_crash(names, Crash(f"i-{number}", now))
+        find_guard(site).report_crash(fingerprints, Crash(f"i-{number}", now))
     await wait_until(lambda: read_requests(site), "stored")
     assert len(read_requests(site)) == MAX_STORED_REQUESTS
 
@@ -115,8 +115,8 @@
 async def test_a_request_quarantined_during_an_outage_of_the_store_is_written_after_it(site):
     site.store.faults.down = True
     now = asyncio.get_running_loop().time()
-    case = CrashRecord(FINGERPRINT, (Crash("i-1", now), Crash("i-2", now)))
-    for crash in case.crashes:
+    record = CrashRecord(FINGERPRINT, (Crash("i-1", now), Crash("i-2", now)))
+    for crash in record.crashes:
         find_guard(site).report_crash([FINGERPRINT], crash)
     await wait_until(lambda: all(count_quarantined(site)), "known")
     await asyncio.sleep(0.2)
