--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -39,7 +39,7 @@
 # Time after the start of the recording write within which an order must be sent.
 SEND_SECONDS = 0.5
 # Timeout of one call for the lease. An answer after SEND_SECONDS is too late to send an order.
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 # Time for a sent order to arrive, and margin for clock drift.
 ARRIVAL_SECONDS = 1.0
 # Time after a restore, beyond SEND_SECONDS and ARRIVAL_SECONDS, in which only the last holder may
@@ -155,8 +155,10 @@
         epochs = self._store.epochs
         if not epochs.current:
             return NEVER
-        wait = SEND_SECONDS + ARRIVAL_SECONDS
-        return epochs.since + (wait if self.may_reclaim() else wait + FORMER_HOLDER_SECONDS)
+        delay_seconds = SEND_SECONDS + ARRIVAL_SECONDS
+        return epochs.since + (
+            delay_seconds if self.may_reclaim() else delay_seconds + FORMER_HOLDER_SECONDS
+        )
 
     def _replace_malformed(self, known: StoredObject, error: BadEntryError) -> DutyLease:
         """Return a lease without a holder in place of one that cannot be parsed.
@@ -221,7 +223,7 @@
 
     async def _write(self, wanted: DutyLease, revision: StoreRevision) -> bool:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 stored = await self._store.replace(LEASE_KIND, self._name, wanted.spec(), revision)
         except (ConflictError, NotFoundError):
             return self._lose("the lease was changed or deleted by another host")
@@ -243,11 +245,11 @@
 
     async def _get(self) -> StoredObject:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 return await self._store.get(LEASE_KIND, self._name)
         except TimeoutError:
             raise PlatformUnavailableError(
-                f"lease {self._name} was not read within {CALL_SECONDS:g} s"
+                f"lease {self._name} was not read within {CALL_TIMEOUT_SECONDS:g} s"
             ) from None
 
     def _accept_write(self, lease: DutyLease, stored: StoredObject) -> None:
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -41,7 +41,7 @@
 # Time between two reads of the lease by the standby.
 STANDBY_READ_SECONDS = 5.0
 # Timeout of one call to an engine.
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 # Time after which an unanswered order cannot take effect any more. Engines may apply an order up to
 # 12 s after it was sent.
 UNANSWERED_SECONDS = 14.0
@@ -275,7 +275,7 @@
 
     async def _call(self, engine: Instance, request: OutgoingRequest) -> tuple[int, bytes] | None:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 head, content = await call_once(
                     self._pool, engine.name, engine.record.address, request, MAX_ANSWER_BYTES
                 )
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -108,9 +108,9 @@
         """Return the confirmations of other aggregators, except one that equals `own`."""
         now = self._now()
         self._own_rosters = {
-            host: heard
-            for host, heard in self._own_rosters.items()
-            if now - heard[1] < PEER_TIMEOUT_SECONDS
+            host: received
+            for host, received in self._own_rosters.items()
+            if now - received[1] < PEER_TIMEOUT_SECONDS
         }
         # Aggregators of the same live hosts send the same roster: the latest time counts.
         latest: dict[bytes, float] = {}
