--- a/src/swifttrestle/platform/duties.py
+++ b/src/swifttrestle/platform/duties.py
@@ -15,7 +15,6 @@
 from swifttrestle.internal.transport.upstream import Address, OutgoingRequest
 
 POOL_NAME = "duties"
-# Twice the time that a slow platform takes.
 CALL_TIMEOUT_SECONDS = 1.0
 MAX_RESPONSE_BYTES = 64 * 1024
 
--- a/src/swifttrestle/platform/engine.py
+++ b/src/swifttrestle/platform/engine.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class EngineReport:
-    """An engine's state, some hundred milliseconds old.
+    """An engine's state, as of shortly before the response.
 
     `orders_taken` is the field `seq` on the wire and counts orders since the engine's start.
     `born` is the time of that start in Unix milliseconds, 0 if the engine does not report it.
@@ -96,7 +96,9 @@
         )
         return CachedParts(parts, _read_born(raw))
     except (KeyError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
-        raise UpstreamBrokenError(f"an engine's list cannot be read: {error!r}") from None
+        raise UpstreamBrokenError(
+            f"an engine's list of cached parts cannot be read: {error!r}"
+        ) from None
 
 
 def is_other_incarnation(reported: int, known: int) -> bool:
--- a/src/swifttrestle/platform/objects.py
+++ b/src/swifttrestle/platform/objects.py
@@ -76,8 +76,8 @@
 def decode_answer(path: str, content: bytes) -> Any:
     """Return the decoded JSON of a response; raise BadPlatformAnswerError.
 
-    Bytes that are not UTF-8 become lone surrogates in their texts, and numbers that are not valid
-    JSON become such texts. So only the objects with these values are rejected, not the response.
+    Invalid UTF-8 and numbers that JSON does not allow are decoded to texts with lone surrogates,
+    which `read_object` rejects. So only the objects with such values are malformed.
     """
     try:
         return orjson.loads(content) if content else None
@@ -130,7 +130,7 @@
         number = check_integer(raw["timestamp"], 0, MAX_INT64)
         more = bool(raw.get("hasMore")) and bool(raw_items)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise BadPlatformAnswerError(f"a list cannot be read: {error!r}") from None
+        raise BadPlatformAnswerError(f"a list of the store cannot be read: {error!r}") from None
     read = [_read_object_or_error(kind, item, epoch) for item in raw_items]
     items = tuple(item for item in read if isinstance(item, StoredObject))
     malformed = tuple(item for item in read if isinstance(item, MalformedObject))
@@ -144,7 +144,7 @@
         events = list(raw["events"])
         number = check_integer(raw["timestamp"], 0, MAX_INT64)
     except (KeyError, TypeError, ValueError) as error:
-        raise BadPlatformAnswerError(f"a watch cannot be read: {error!r}") from None
+        raise BadPlatformAnswerError(f"the response to a watch cannot be read: {error!r}") from None
     read = tuple(_read_change(kind, event, epoch) for event in events)
     return Changes(read, StoreRevision(epoch, number))
 
--- a/src/swifttrestle/platform/records.py
+++ b/src/swifttrestle/platform/records.py
@@ -32,7 +32,7 @@
 CONFIG_NAME = "main"
 UPSTREAM_KIND = "servers"
 MAX_SLOTS = 100_000
-# The numerically largest, least urgent priority of a workspace, as in engines.
+# Number of the least urgent priority; smaller numbers are more urgent, as in engines.
 LOWEST_PRIORITY = 9
 # Longest key, limited by the size of request headers.
 MAX_KEY_CHARS = 16 * 1024
--- a/src/swifttrestle/platform/store.py
+++ b/src/swifttrestle/platform/store.py
@@ -40,21 +40,21 @@
 POOL_NAME = "store"
 # Timeout of writes, shorter than the shortest lease.
 WRITE_TIMEOUT_SECONDS = 2.0
-# Timeout of reads, which can be retried at any time: twice what a slow store takes.
+# Timeout of reads, which can be retried at any time.
 READ_TIMEOUT_SECONDS = 1.0
 # Longest time between two bytes of a response, longer than a TCP retransmission. There is no limit
 # for the whole body, since a slow link could then never transfer a large object.
 BYTE_TIMEOUT_SECONDS = 2.0
 # Longest time that a watch waits for a change, a limit of the store.
 WATCH_SECONDS = 30.0
-# Time beyond that in which a watch must be answered: four times what a slow store takes.
+# Time beyond the requested wait in which a watch must be answered.
 WATCH_MARGIN_SECONDS = 0.8
 # Time after which a connection with unacknowledged data is closed. Together with the time to read
 # again, it is less than the three seconds within which a host must apply changes.
 UNACKNOWLEDGED_MS = 2000
 # The response header with the store's epoch.
 EPOCH_HEADER = b"store-era"
-# Most digits of an epoch: fencing tokens contain it and must fit 64 bits.
+# Maximum number of digits of an epoch: fencing tokens contain it and must fit 64 bits.
 MAX_EPOCH_DIGITS = 10
 # Largest page of a list or object.
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
@@ -88,7 +88,9 @@
             # A watch from the first page's revision misses no change.
             first = first or page.revision
             if first.epoch != page.revision.epoch:
-                raise OldEpochError(f"{kind}: the first page is of {first}, a later one is not")
+                raise OldEpochError(
+                    f"{kind}: epoch changed between pages, {first} to {page.revision}; list again"
+                )
             complete = not page.more
             if complete or page.last in ("", after):
                 return Snapshot(tuple(items), first, tuple(malformed), complete)
--- a/src/swifttrestle/platform/wire.py
+++ b/src/swifttrestle/platform/wire.py
@@ -175,7 +175,7 @@
 class ResponseMetadata:
     """Metadata from the head of an upstream's response.
 
-    `replaced` tells that another instance now listens at the address. An engine also responds with
+    `replaced` is set if another instance now listens at the address. An engine also responds with
     421 to a request that its role does not serve, but then with its own instance id.
     """
 
