--- a/src/swifttrestle/internal/event_log.py
+++ b/src/swifttrestle/internal/event_log.py
@@ -13,7 +13,6 @@
 
 import orjson
 
-# Most lines that wait to be written: some megabytes of memory.
 MAX_QUEUED_LINES = 4096
 # Seconds between two writes; the lines queued meanwhile go out in one call.
 FLUSH_INTERVAL_SECONDS = 0.1
--- a/src/swifttrestle/internal/listeners.py
+++ b/src/swifttrestle/internal/listeners.py
@@ -9,7 +9,7 @@
 )
 from swifttrestle.internal.transport.upstream import Address
 
-# Most connections that wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 BACKLOG = 1024
 # Seconds from the start of a graceful shutdown until idle connections are closed: the load
 # balancer checks readiness once a second and removes a host after two failures.
--- a/src/swifttrestle/internal/metrics.py
+++ b/src/swifttrestle/internal/metrics.py
@@ -1,7 +1,7 @@
 """Counters and gauges of one process, exported in the Prometheus text format.
 
-aioprometheus is not thread-safe and its counters cost several microseconds each, so the hot
-path counts in plain numbers under one lock, which are copied when the page is rendered.
+aioprometheus is not thread-safe and its counters are slow, so the hot path counts in plain numbers
+under one lock, which are copied when the page is rendered.
 """
 
 import threading
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -70,7 +70,7 @@
         )
         seed = random.Random(settings.name).getrandbits(32)
         self.cache = ObjectCache(self.api, (MEMBER, ACCEPTED, *kinds), self.clock, seed)
-        self.cache.subscribe(self._take_accepted)
+        self.cache.subscribe(self._apply_accepted)
         self.membership = Membership(
             self.identity,
             settings.peer_secret,
@@ -114,7 +114,7 @@
         self.ops.stop()
         log_info("stopped")
 
-    def _take_accepted(self, item: StoredObject, deleted: bool) -> None:
+    def _apply_accepted(self, item: StoredObject, deleted: bool) -> None:
         if item.kind != ACCEPTED or deleted:
             return
         shard = read_shard(item.name, item.spec)
