--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -367,5 +367,7 @@
         sys.stderr.write(f"swifttrestle-ctl: {error}\n")
         sys.exit(EXIT_REFUSED)
     except urllib3.exceptions.HTTPError as error:
-        sys.stderr.write(f"swifttrestle-ctl: {type(error).__name__}: no response\n")
+        sys.stderr.write(
+            f"swifttrestle-ctl: {type(error).__name__}: no response; check the address\n"
+        )
         sys.exit(EXIT_REFUSED)
--- a/src/swifttrestle/entry.py
+++ b/src/swifttrestle/entry.py
@@ -50,9 +50,9 @@
             name=settings.name,
         )
         self._attempts = attempts
-        self.pump = StreamRelay()
+        self.stream_relay = StreamRelay()
         relay_context = RelayContext(
-            self.pump,
+            self.stream_relay,
             attempts,
             ThreadPoolExecutor(RESUME_THREADS, thread_name_prefix="resume"),
             self.process.metrics,
@@ -91,7 +91,7 @@
             "open_requests", "Requests taken and not ended", lambda: self.handler.open_requests
         )
         process.metrics.add_gauge(
-            "open_streams", "Streams in the relay pump", lambda: self.pump.open_streams
+            "open_streams", "Streams in the relay pump", lambda: self.stream_relay.open_streams
         )
         process.metrics.add_gauge(
             "waiting_requests", "Requests waiting for room", lambda: self.queue.waiting
@@ -100,7 +100,7 @@
     def run(self) -> None:
         """Serve until a graceful shutdown has ended."""
         self.process.start()
-        self.pump.start()
+        self.stream_relay.start()
         self.reports.start()
         threading.Thread(target=self._announce_idle_upstreams, daemon=True).start()
         threading.Thread(target=self.server.serve, name="callers", daemon=True).start()
--- a/src/swifttrestle/errors.py
+++ b/src/swifttrestle/errors.py
@@ -78,7 +78,7 @@
 
 
 class BadEntryError(BadPlatformAnswerError):
-    """An entry of the store is malformed; `field`, `value` and `reason` tell how."""
+    """An entry of the store is malformed; `field`, `value` and `reason` say why."""
 
     code = Code.BAD_ENTRY
 
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -52,8 +52,7 @@
 METRICS_PORT = 9464
 # Seconds before the platform kills the process at which it exits even with open requests.
 SHUTDOWN_MARGIN_SECONDS = 0.4
-# Allocations between garbage collections; Python's default of 700 costs a noticeable share of a
-# small host's processor.
+# Allocations between garbage collections; with Python's default they use too much processor time.
 GC_THRESHOLD = 50_000
 
 
@@ -83,7 +82,7 @@
         self._state = GatewayState(settings.zone, self._fleet, self._budgets, self._metrics, rng)
         self._skipped_entries = SkippedEntries(self._count_skipped_entry)
         self._store = ObjectStore(settings.store, ConnectionPool(UNACKNOWLEDGED_MS))
-        self._store.epochs.on_restore = self._handle_store_return
+        self._store.epochs.on_restore = self._handle_store_restore
         self._configuration = ConfigurationWatcher(
             self._store,
             rng,
@@ -333,7 +332,7 @@
         self._budgets.hosts = len(live_hosts)
         self._serve_queues()
 
-    def _handle_store_return(self) -> None:
+    def _handle_store_restore(self) -> None:
         """After a restore of the store from a backup, read it and write own entries again."""
         delay = self._rng.random() * RESTORE_SPREAD_SECONDS
         asyncio.get_running_loop().call_later(delay, self._configuration.reload_after_restore)
@@ -367,7 +366,7 @@
         self._budgets.change(bounds.retry_share, bounds.retry_extra, bounds.retry_window_seconds)
         self._gossip.add_seeds([seed[0] for seed in settings.seeds])
 
-    # Pages.
+    # Readiness.
 
     def is_ready(self) -> bool:
         """Return whether the load balancer may send callers to this host."""
