--- a/src/swifttrestle_standins/engine.py
+++ b/src/swifttrestle_standins/engine.py
@@ -253,12 +253,14 @@
             start = max(since - self._events_base, 0)
             chosen = self._events[start : start + MAX_EVENTS_PER_REPLY]
             first = self._events_base + start
-        kept = [
+        delivered = [
             [first + i, what, block]
             for i, (what, block) in enumerate(chosen)
             if self._random.random() >= self._event_loss
         ]
-        exchange.reply_json(200, {"boot": self.boot, "next": first + len(chosen), "events": kept})
+        exchange.reply_json(
+            200, {"boot": self.boot, "next": first + len(chosen), "events": delivered}
+        )
 
 
 class _Admin(AdminHandler):
--- a/src/swifttrestle_standins/fleet.py
+++ b/src/swifttrestle_standins/fleet.py
@@ -1,7 +1,7 @@
 """Starts the system's processes and the stand-ins on loopback, for demo, tests and benchmarks.
 
 Addresses are picked once and kept across restarts: a controller that answers on its
-predecessor's peer port proves that the predecessor has ended.
+predecessor's peer port shows that the predecessor has ended.
 """
 
 import itertools
@@ -21,7 +21,7 @@
 from swifttrestle_standins.loopback import pick_ip, pick_port
 
 SECRET = "demo-secret-of-loopback-only"
-STOP_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 30.0
 # Number of the first loopback address of a fleet; gateways in the same process use lower numbers.
 FIRST_IP_NUMBER = 100
 
@@ -79,7 +79,7 @@
         self.process.send_signal(signal.SIGCONT)
         self.process.terminate()
         try:
-            return self.process.wait(STOP_SECONDS)
+            return self.process.wait(STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             self.kill()
             return -1
--- a/src/swifttrestle_standins/hosted/duties.py
+++ b/src/swifttrestle_standins/hosted/duties.py
@@ -147,7 +147,7 @@
             for item in self._site.upstreams.values()
             if isinstance(item, StandInEngine)
             and (item.service, item.zone, item.reclaimable) == (service, zone, reclaimable)
-            and not self._site.leaves(item)
+            and not self._site.is_draining(item)
         ]
 
     def _start_engine(self, service: str, zone: str, reclaimable: bool) -> None:
@@ -194,5 +194,5 @@
 def count_kinds(site: "Site") -> tuple[int, int]:
     """Return the numbers of non-reclaimable and reclaimable engines that serve or boot."""
     engines = [item for item in site.upstreams.values() if isinstance(item, StandInEngine)]
-    kinds = [item.reclaimable for item in engines if not site.leaves(item)]
+    kinds = [item.reclaimable for item in engines if not site.is_draining(item)]
     return kinds.count(False), kinds.count(True)
--- a/src/swifttrestle_standins/hosted/site.py
+++ b/src/swifttrestle_standins/hosted/site.py
@@ -137,7 +137,7 @@
         record = upstream.record(self.addresses[upstream.instance], state)
         self.store.put("servers", upstream.instance, record)
 
-    def leaves(self, upstream: StandInUpstream) -> bool:
+    def is_draining(self, upstream: StandInUpstream) -> bool:
         """Return whether an upstream's record is in the state draining."""
         known = self.store.objects.get(("servers", upstream.instance))
         return known is not None and known["spec"]["state"] == "draining"
