--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -39,8 +39,8 @@
 def main() -> None:
     """Print the table; times in CPU seconds of this process."""
     setup_logs("bench", "text", "ERROR")
-    print("| upstreams | workspaces | judge one edit s | split s | put all in force s | "
-          "largest shard kB | put one shard in force s | memory MB |")  # fmt: skip
+    print("| upstreams | workspaces | accept one edit s | split s | apply all s | "
+          "largest shard kB | apply one shard s | memory MB |")  # fmt: skip
     print("|" + "---|" * 8)
     for upstreams, workspaces in SIZES:
         objects = make_objects(upstreams, workspaces)
--- a/bench/division.py
+++ b/bench/division.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Story:
-    """Events at half time: lost engines, and the share of prompts that use one popular document."""
+    """Events at half of the run: lost engines, and the share of prompts with a popular document."""
 
     name: str
     lost_engines: int = 0
@@ -150,17 +150,17 @@
 
 
 class Run:
-    """One simulation of a workload with a story of failures under a division."""
+    """One simulation of a workload with a scenario of failures under a division."""
 
     def __init__(
-        self, workload: Workload, story: Story, division: Division, seed: int, seconds: float
+        self, workload: Workload, scenario: Story, division: Division, seed: int, seconds: float
     ) -> None:
         """Prepare a run, which is determined by its seed."""
         self._seconds = seconds
         self._workload = workload
         self._division = division
         self._rng = random.Random(seed)
-        self._story = story
+        self._scenario = scenario
         self._zones = [f"z{number}" for number in range(len(workload.zones))]
         # Each zone's scheduler has its own view of every engine.
         self._views = {zone: self._make_engines() for zone in self._zones}
@@ -199,7 +199,7 @@
         at = 0.0
         while (at := at + rng.expovariate(kind.rate)) < self._seconds:
             late = at > self._seconds / 2
-            popular = late and rng.random() < self._story.popular
+            popular = late and rng.random() < self._scenario.popular
             number = 0 if popular else rng.randrange(kind.documents)
             parts = (
                 PromptPart(f"{kind.name}-{number}", sizes[number]),
@@ -218,10 +218,10 @@
         return engines
 
     def _fail_engines(self) -> None:
-        """Remove the zones and engines that the story loses."""
-        lost_zones = set(self._zones[: self._story.lost_zones])
+        """Remove the zones and engines that the scenario loses."""
+        lost_zones = set(self._zones[: self._scenario.lost_zones])
         names = [name for name in self._caches if name.rpartition("-")[0] in lost_zones]
-        names += list(self._caches)[: self._story.lost_engines]
+        names += list(self._caches)[: self._scenario.lost_engines]
         for view in self._views.values():
             for name in names:
                 view.pop(name, None)
@@ -344,7 +344,7 @@
     ),
 )
 WORKLOADS = (SCREENING, SCORES, SMALL)
-STORIES = (
+SCENARIOS = (
     Story("calm"),
     Story("an engine lost", lost_engines=1),
     Story("a zone lost", lost_zones=1),
@@ -356,23 +356,23 @@
 
 def play(
     workload: Workload,
-    story: Story,
+    scenario: Story,
     division: Division,
     seed: int = 1,
     seconds: float = RUN_SECONDS,
 ) -> Result:
     """Simulate one run."""
-    return Run(workload, story, division, seed, seconds).play()
+    return Run(workload, scenario, division, seed, seconds).play()
 
 
 def main() -> None:
-    """Print a table of all workloads, stories and divisions."""
-    for workload, story, division in itertools.product(WORKLOADS, STORIES, DIVISIONS):
-        found = play(workload, story, division)
+    """Print a table of all workloads, scenarios and divisions."""
+    for workload, scenario, division in itertools.product(WORKLOADS, SCENARIOS, DIVISIONS):
+        found = play(workload, scenario, division)
         print(
-            f"{workload.name:36} {story.name:20} {division.name:19} "
-            f"read {found.read / 1e6:5.1f} M, again {found.reread / 1e6:5.1f} M "
-            f"({100 * found.again_share:2.0f} in 100), once {found.first_read / 1e6:4.1f} M, "
+            f"{workload.name:36} {scenario.name:20} {division.name:19} "
+            f"read {found.read / 1e6:5.1f} M, reread {found.reread / 1e6:5.1f} M "
+            f"({100 * found.again_share:2.0f} %), once {found.first_read / 1e6:4.1f} M, "
             f"in time {found.in_time_share:.3f}, refused {found.refused / found.prompts:.3f}, "
             f"busiest {found.peak_to_mean:.2f}"
         )
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from bench.mix import ASSOCIATION, POLICIES, SECONDS, SEEDS, TAIL_SECONDS, make_trace
+from bench.mix import ASSOCIATION, POLICIES, RUN_SECONDS, SEEDS, TAIL_SECONDS, make_trace
 from bench.model import Guards, ModelEngine, ModelRun, Policies
 from swifttrestle.internal.policy.admission import AdmitAll
 from swifttrestle.internal.policy.roles import FixedRoles
@@ -36,7 +36,7 @@
     Case("no retry budget", Guards(retry_budget=False)),
     Case("no ejection", Guards(ejection=False)),
     Case("no cap", Guards(), cap=1.0),
-    Case("no slow return", Guards(), return_seconds=0.0),
+    Case("no slow re-admission", Guards(), return_seconds=0.0),
     Case("admit all, busy is not broken", Guards(), admit_all=True),
     Case("admit all, busy is broken", Guards(busy_is_not_broken=False), admit_all=True),
     Case("admit all, busy is broken, no cap", Guards(busy_is_not_broken=False), 1.0, 10.0, True),
@@ -53,7 +53,7 @@
     run.guards = case.guards
     start = run.clock.time
     run.broken = {name: (start + BREAK_SECONDS, start + REPAIR_SECONDS) for name in BROKEN}
-    done = run.run(make_trace(ASSOCIATION, load, seed), SECONDS + TAIL_SECONDS)
+    done = run.run(make_trace(ASSOCIATION, load, seed), RUN_SECONDS + TAIL_SECONDS)
 
     def goodput(first: float, last: float) -> float:
         chosen = [r for r in done if first <= r.at - start < last]
@@ -63,7 +63,7 @@
     return (
         goodput(0, BREAK_SECONDS),
         goodput(BREAK_SECONDS, REPAIR_SECONDS),
-        goodput(REPAIR_SECONDS, SECONDS),
+        goodput(REPAIR_SECONDS, RUN_SECONDS),
         run.retries,
         misses,
     )
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -42,7 +42,7 @@
 GONE_KNOWN_SECONDS = 2.0
 JOIN_KNOWN_SECONDS = 0.6
 # Seconds until a lost host restarts, after its loss is known.
-AWAY_SECONDS = 1.0
+RESTART_SECONDS = 1.0
 # Share of the permits that are used late, and the maximum delay in seconds.
 LATE_SHARE = 0.2
 LATE_SECONDS = 1.5
@@ -211,7 +211,7 @@
             host.up = False
             self.policy.drop_state(host)
             known_gone_at = now + GONE_KNOWN_SECONDS
-            restarted_at = known_gone_at + AWAY_SECONDS
+            restarted_at = known_gone_at + RESTART_SECONDS
             self._schedule(known_gone_at, functools.partial(self._set_known_up, host, False))
             self._schedule(restarted_at, functools.partial(self._restart, host))
             self._schedule(
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -21,8 +21,10 @@
 )
 from swifttrestle.resources import Policy
 
-SECONDS = 120.0
-SWING_SECONDS = 20.0
+RUN_SECONDS = 120.0
+# Seconds between two changes of the request mix.
+MIX_CHANGE_SECONDS = 20.0
+# Seconds that a run goes on after the last arrival.
 TAIL_SECONDS = 30.0
 ENTRIES = 4
 LOADS = (0.5, 0.75, 1.0, 1.25, 1.5)
@@ -112,10 +114,10 @@
     at = 0.0
     while True:
         at += rng.expovariate(deployment.rate * load)
-        if at >= SECONDS:
+        if at >= RUN_SECONDS:
             return trace
-        swing = int(at / SWING_SECONDS) % 2
-        share = 0.75 if swing == 0 else 0.1
+        phase = int(at / MIX_CHANGE_SECONDS) % 2
+        share = 0.75 if phase == 0 else 0.1
         kind = deployment.long if rng.random() < share else deployment.short
         if rng.random() < 0.06:
             kind = deployment.alert
@@ -148,7 +150,7 @@
         name="default", role_change_weight=deployment.role_change_weight, role_dwell_seconds=30
     )
     run = ModelRun(engines, POLICIES[label], policy, seed, ENTRIES)
-    done = run.run(make_trace(deployment, load, seed), SECONDS + TAIL_SECONDS)
+    done = run.run(make_trace(deployment, load, seed), RUN_SECONDS + TAIL_SECONDS)
     return _summarize(deployment, run, done), run
 
 
@@ -157,8 +159,8 @@
     latencies = sorted((r.done_at - r.at) if r.done_at else 99.0 for r in alerts)
     prompts = sum(r.work.prompt_tokens for r in done if r.outcome == "done")
     return Outcome(
-        sum(1 for request in done if request.in_time) / SECONDS,
-        len(done) / SECONDS,
+        sum(1 for request in done if request.in_time) / RUN_SECONDS,
+        len(done) / RUN_SECONDS,
         sum(1 for request in alerts if not request.in_time),
         len(alerts),
         latencies[len(latencies) // 2],
@@ -230,7 +232,7 @@
             panel.plot(LOADS, medians, marker="o", label=label)
         panel.set_title(name)
         panel.set_xlabel("load as a share of capacity")
-    panels[0].set_ylabel("answers whole and in time, a second")
+    panels[0].set_ylabel("complete answers in time, per second")
     panels[0].legend(fontsize=8)
     figure.tight_layout()
     figure.savefig(path, dpi=90)
@@ -244,8 +246,8 @@
         write_table(deployment, found[deployment.name]) for deployment in (ASSOCIATION, TRUST)
     ]
     text = (
-        "# Goodput through swings of the mix\n\n"
-        f"Seeds {SEEDS}, {SECONDS:g} s a run, the mix swings every {SWING_SECONDS:g} s; "
+        "# Goodput under a changing request mix\n\n"
+        f"Seeds {SEEDS}, {RUN_SECONDS:g} s a run, the mix changes every {MIX_CHANGE_SECONDS:g} s; "
         "medians over the seeds. Made by `python -m bench mix`.\n\n" + "\n".join(tables)
     )
     (REPORTS / "mix.md").write_text(text + "\n![goodput over load](mix.png)\n")
--- a/bench/model.py
+++ b/bench/model.py
@@ -57,10 +57,10 @@
     at: float
     entry: int = 0
     attempts: int = 0
-    left: int = 0
+    tokens_left: int = 0
     sent: int = 0
     uncached: float = 0
-    before: float = 0
+    tokens_before: float = 0
     routed_at: float = 0
     first_at: float = 0
     checked_at: float = 0
@@ -107,10 +107,10 @@
                 break
             self.cache.move_to_end(block)
             hit += BLOCK_TOKENS
-        request.left = max(1, request.work.prompt_tokens - hit)
+        request.tokens_left = max(1, request.work.prompt_tokens - hit)
         if imported:
-            request.left = 1
-        self.hit_tokens += request.work.prompt_tokens - request.left
+            request.tokens_left = 1
+        self.hit_tokens += request.work.prompt_tokens - request.tokens_left
         self.waiting.append(request)
         self.waiting.sort(key=lambda r: r.work.priority != "urgent")
         return True
@@ -123,10 +123,10 @@
             if self.role != "prefill" and len(self.decoding) >= self.slots:
                 break
             request = self.waiting[0]
-            done = min(budget, request.left)
-            request.left -= done
+            done = min(budget, request.tokens_left)
+            request.tokens_left -= done
             budget -= done
-            if request.left:
+            if request.tokens_left:
                 break
             self.waiting.pop(0)
             self._cache_prompt(request.blocks, now)
@@ -161,7 +161,7 @@
         """Return the current load."""
         holding = EngineAssignment("m", "v1", (), self.role)
         state = EngineState(self.name, holding, now < self.away_until, "", 0)
-        tokens = sum(request.left for request in self.waiting)
+        tokens = sum(request.tokens_left for request in self.waiting)
         return LoadReport(
             state, now, self.slots, len(self.waiting), tokens, len(self.decoding),
             self.tokens_out, self.prefilled,
@@ -260,8 +260,8 @@
     def _admit(self, request: Request, waiting: bool) -> bool:
         """Decide on one request; return whether it is sent or rejected instead of waiting."""
         queue = self.queues[request.entry]
-        left = request.at + request.deadline - self.clock.time
-        if left <= 0:
+        seconds_left = request.at + request.deadline - self.clock.time
+        if seconds_left <= 0:
             request.outcome = "expired"
             return True
         wanted = UpstreamRequirements(self.service, request.work.prompt_tokens, request.blocks)
@@ -270,7 +270,7 @@
         if request.work.priority == "urgent":
             ahead = 0
         result = self.admission.decide(
-            candidates, request.work, left, ahead, self.policy.queue_limit
+            candidates, request.work, seconds_left, ahead, self.policy.queue_limit
         )
         if result.decision is Decision.GO and self._send(request, result.available):
             return True
@@ -289,7 +289,7 @@
             return False
         self.decisions.append(chosen.name)
         request.uncached = max(1, request.work.prompt_tokens - chosen.cached_tokens)
-        request.before = request.uncached + chosen.waiting_tokens
+        request.tokens_before = request.uncached + chosen.waiting_tokens
         table.begin(chosen.name, request.uncached)
         request.target, request.prefill_engine = chosen.name, chosen.prefill_engine
         request.routed_at = self.clock.time
@@ -371,7 +371,7 @@
         table = self.tables[request.entry]
         table.end(request.target)
         first = request.first_at - request.routed_at
-        table.note_first_token(request.target, request.before, max(first, 1e-3))
+        table.note_first_token(request.target, request.tokens_before, max(first, 1e-3))
         decode = request.done_at - request.first_at
         table.note_decode(request.target, request.work.output_tokens, decode)
 
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -151,7 +151,7 @@
 
 def main() -> None:
     """Print a line per threshold and number of engines."""
-    print("engines  kept back after  crashes a run  streams not served  of them kept back")
+    print("engines  crash threshold  crashes a run  streams not served  quarantined a run")
     for engines in ENGINES:
         for threshold in THRESHOLDS:
             found = run_all(engines, threshold)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -85,14 +85,16 @@
         entry = fleet.members["entry"]
         idle = psutil.Process(entry.process_id()).memory_info().rss / 1e6
         headers = f"Authorization: Bearer {KEY}\r\n"
-        ask = [
+        entry_bodies = [
             json.dumps({"model": "chat", "prompt": f"p {n}", "max_tokens": tokens, "stream": True})
             for n in range(streams)
         ]
         found = {
             "entry": measure(
                 entry.process_id(),
-                lambda: run_readers(entry.addresses["listen"], "/v1/completions", headers, ask),
+                lambda: run_readers(
+                    entry.addresses["listen"], "/v1/completions", headers, entry_bodies
+                ),
             )
         }
         found["entry"]["idle_memory_mb"] = idle
@@ -103,7 +105,7 @@
         )
         assert loop.process.stdout is not None
         loop.addresses = json.loads(loop.process.stdout.readline())
-        raw = [
+        loop_bodies = [
             json.dumps(
                 {"id": f"b{n}", "attempt": 1, "offset": 0, "max_tokens": tokens, "model": "small",
                  "version": "v1", "prompt": f"p {n}", "priority": "normal"}
@@ -112,7 +114,7 @@
         ]  # fmt: skip
         found["plain loop"] = measure(
             loop.process.pid,
-            lambda: run_readers(loop.addresses["listen"], "/", "", raw),
+            lambda: run_readers(loop.addresses["listen"], "/", "", loop_bodies),
         )
         loop.kill()
         return found
@@ -132,7 +134,7 @@
         ("1000 streams, 74 ms a token", 1000, 253, 0.074),
         ("1750 streams, 74 ms a token", 1750, 253, 0.074),
         ("2000 streams, 74 ms a token, long", 2000, 560, 0.074),
-        ("400 streams, as fast as it goes", 400, 1200, 0.0),
+        ("400 streams, unpaced", 400, 1200, 0.0),
     ):
         # More engines, so that the stand-ins are not the bottleneck.
         found = run_relay(streams, tokens, step, engines=8 if streams >= 2000 else 4)
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -4,7 +4,7 @@
 to the others. The store is restored from a copy without its latest writes; then one upstream
 drains and another one joins. Reported are
 
-- the seconds until all hosts act on either,
+- the seconds until no host uses the first ("left") and all use the second ("used"),
 - the store calls shortly after the restore, and after an outage without data loss ("plain"),
 - the host seconds in which an upstream missing from the copy is not used ("missed"),
 - the host seconds in which an upstream is used that only the copy still has ("wrong").
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Costs of coordination at rest and of a change, for several fleet sizes; see docs/CAPACITY.md."""
+"""Costs of coordination while idle and of a change, by fleet size; see docs/CAPACITY.md."""
 
 import tempfile
 import threading
@@ -13,7 +13,7 @@
 
 # Numbers of entries, controllers and engines.
 SIZES = ((2, 1, 3), (4, 2, 6), (8, 4, 12))
-REST_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 CHANGE_COUNT = 5
 
 
@@ -81,15 +81,15 @@
         names = [n for n in fleet.members if n[0] in "nc" and n[1:].isdigit()]
         threading.Event().wait(3.0)
         before = read_all(fleet, names)
-        threading.Event().wait(REST_SECONDS)
+        threading.Event().wait(IDLE_SECONDS)
         after = read_all(fleet, names)
 
         def mean(kind: str, table: str) -> float:
             chosen = [name for name in names if name[0] == kind]
             first, last = getattr(before, table), getattr(after, table)
-            return sum(last[n] - first[n] for n in chosen) / len(chosen) / REST_SECONDS
+            return sum(last[n] - first[n] for n in chosen) / len(chosen) / IDLE_SECONDS
 
-        calls = (after.calls - before.calls) / REST_SECONDS
+        calls = (after.calls - before.calls) / IDLE_SECONDS
         memory = {
             kind: max(
                 psutil.Process(fleet.members[n].process_id()).memory_info().rss
@@ -112,7 +112,7 @@
     """Print the table."""
     print("| entries | controllers | engines | entry CPU % | controller CPU % | entry bytes/s | "
           "controller bytes/s | platform calls/s | entry MB | controller MB | "
-          "change in force s (median) | (most) |")  # fmt: skip
+          "change in force s (median) | (max) |")  # fmt: skip
     print("|" + "---|" * 12)
     for size in SIZES:
         print(measure_size(*size), flush=True)
