--- a/tests/common/discovery.py
+++ b/tests/common/discovery.py
@@ -57,8 +57,8 @@
         )
         self.task = asyncio.ensure_future(self.discovery.run())
 
-    async def lose_store(self, way, seconds):
-        self.store.set_way(way)
+    async def lose_store(self, failure_mode, seconds):
+        self.store.set_way(failure_mode)
         await asyncio.sleep(seconds)
         self.store.set_way("up")
 
--- a/tests/common/scenario.py
+++ b/tests/common/scenario.py
@@ -2,7 +2,8 @@
 
     start platform|engine|service|entry|controller NAME [flag=value ...]
     declare [policy-field=value ...]       resources for everything started so far, in force
-    load NAME [service= count= tokens= entries= pace= again= hang_up= header:X=value]
+    load NAME [service= count= tokens= entries= pace= retry= header:X=value
+              disconnect_after_tokens=]
     when CONDITION [seconds=N]             waits until the condition holds
     fault STANDIN key=value ...            sets faults through the stand-in's admin port
     signal PROCESS KILL|STOP|CONT|TERM     sends a signal
@@ -144,8 +145,8 @@
             flags.get("tokens", 20),
             headers,
             flags.get("pace", 0.0),
-            flags.get("again", False),
-            flags.get("hang_up", -1),
+            flags.get("retry", False),
+            flags.get("disconnect_after_tokens", -1),
         )
         self.loads[name].start()
 
@@ -334,7 +335,7 @@
         counters = self.fleet.dump(process)["counters"]
         return sum(v for k, v in counters.items() if k.startswith(counter)) >= least
 
-    def is_said(self, text):
+    def is_in_status(self, text):
         """Whether the output of `swifttrestle-ctl status` contains a text."""
         return text in self.fleet.ctl("status").stdout
 
--- a/tests/cover/test_platform_adapter.py
+++ b/tests/cover/test_platform_adapter.py
@@ -208,10 +208,10 @@
     assert facts.patience is None or facts.patience >= 0
 
 
-@pytest.mark.parametrize("patience", [b"nan", b"inf", b"-5", b"x"])
-def test_a_deadline_that_is_not_a_duration_counts_as_missing_or_passed(patience):
-    facts = wire.read_request_metadata([(b"X-Deadline-Ms", patience)])
-    assert facts.patience is None or facts.patience == 0.0
+@pytest.mark.parametrize("deadline", [b"nan", b"inf", b"-5", b"x"])
+def test_a_deadline_that_is_not_a_duration_counts_as_missing_or_passed(deadline):
+    metadata = wire.read_request_metadata([(b"X-Deadline-Ms", deadline)])
+    assert metadata.patience is None or metadata.patience == 0.0
 
 
 def test_no_module_outside_the_adapter_uses_names_of_the_platforms_protocol():
--- a/tests/cover/test_report.py
+++ b/tests/cover/test_report.py
@@ -35,7 +35,7 @@
         make_entry(site=None, days=[QUIET]),
         make_entry(days=[]),
     ],
-    ids=["one day", "hunt", "no site", "ended by hand"],
+    ids=["one day", "hunt", "no site", "interrupted"],
 )
 def test_an_entry_that_is_not_a_complete_score_is_left_out(entry):
     assert read_score(entry) is None
--- a/tests/hosted/sites.py
+++ b/tests/hosted/sites.py
@@ -95,12 +95,12 @@
     return sum(upstream.runs.get(request_id, 0) for upstream in site.upstreams.values())
 
 
-async def restore_store(site, copy, away, cut=True):
-    """Restore the store from a copy, after an outage of `away` seconds."""
-    if away:
+async def restore_store(site, copy, outage_seconds, cut=True):
+    """Restore the store from a copy, after an outage of `outage_seconds`."""
+    if outage_seconds:
         site.store.faults.down = True
         site.store.wake()
-        await asyncio.sleep(away)
+        await asyncio.sleep(outage_seconds)
         site.store.faults.down = False
     site.store.restore(copy)
     if cut:
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -64,7 +64,7 @@
         ([("a", 1), ("b", 1)], 1),
     ],
 )
-def test_orders_that_go_back_or_share_a_token_are_found(orders, found):
+def test_orders_with_a_decreasing_or_shared_token_are_found(orders, found):
     arrived = [{"holder": holder, "fenceToken": token} for holder, token in orders]
     engine = SimpleNamespace(instance="e0", arrived_orders=arrived)
     site = SimpleNamespace(upstreams={"e0": engine}, duties=SimpleNamespace(ended=[]))
@@ -72,7 +72,7 @@
 
 
 def test_a_version_that_decreases_within_one_incarnation_is_found():
-    shown = {"g0 life 1": [3, 6], "g0 life 2": [3, 3], "g1 life 1": [6, 3]}
+    shown = {"g0 start 1": [3, 6], "g0 start 2": [3, 3], "g1 start 1": [6, 3]}
     assert len(list(promises.check_versions(shown))) == 1
 
 
--- a/tests/soak/test_seeds.py
+++ b/tests/soak/test_seeds.py
@@ -6,9 +6,9 @@
 
 from tests.soak.rounds import run_round
 
-# One seed of planned work, two with all faults, and seeds that found a fault before:
+# One seed of planned work, two with all faults, and two regression tests:
 # 523: a new key is refused before its version must be in force, which is allowed.
-# 535: the stand-in listed an engine that was still booting.
+# 535: an engine is ordered, and must not be listed while it boots.
 SEEDS = (3, 1, 2, 523, 535)
 
 
