--- a/src/swifttrestle/internal/explanation.py
+++ b/src/swifttrestle/internal/explanation.py
@@ -78,8 +78,8 @@
     ]
     if not matches:
         raise NotFoundError(
-            f"no log line has request {request_id!r}; give a folder with the logs of all hosts, "
-            "and look for lines_dropped in them"
+            f"no log line has request {request_id!r}; give a folder with the logs of all hosts; "
+            "a log with lines_dropped is incomplete"
         )
     timeline: list[str] = []
     for request in matches:
--- a/src/swifttrestle/internal/state_dump.py
+++ b/src/swifttrestle/internal/state_dump.py
@@ -7,7 +7,7 @@
 
 
 def describe_fleet(fleet: Fleet) -> dict[str, dict[str, Any]]:
-    """Return the known instances by name; `declared`: the service is configured."""
+    """Return the known instances by name; `declared` is set if the service is configured."""
     return {name: _describe(fleet, item) for name, item in fleet.instances.items()}
 
 
--- a/src/swifttrestle_standins/caller.py
+++ b/src/swifttrestle_standins/caller.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class Answer:
-    """One response; `whole` is set only if it is complete. Times in seconds.
+    """One response; `whole` is set if it is complete. Times in seconds.
 
     `lost` names the connection error, if any.
     """
