--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -46,7 +46,7 @@
 
 
 POLICIES: dict[str, CapacityPolicy] = {
-    "as it stands": UnchangedCapacity(),
+    "unchanged": UnchangedCapacity(),
     "lasting alone": NonReclaimableCapacity(),
     "reclaimable, no reserve": UnreservedCapacity(),
     "reclaimable, reserve for a zone": ZoneRedundantCapacity(),
@@ -57,8 +57,8 @@
 class Load:
     """A load and the reclaims during it; times in seconds, work in upstreams.
 
-    At each time of `reclaims`, the zone with most reclaimable upstreams loses them, and is out of
-    reclaimable capacity for `unavailable_seconds`.
+    At each time of `reclaims`, the zone with the most reclaimable upstreams loses them, and is out
+    of reclaimable capacity for `unavailable_seconds`.
     """
 
     name: str
@@ -84,7 +84,7 @@
     Load("boots of 1 s", boot_seconds=1),
     Load("boots of 60 s", boot_seconds=60, reclaims=(123,)),
     Load("load that grows fourfold", work=9.0, burst=4.0, initial_counts=(4, 4, 4)),
-    Load("reclaimable ones are dear", reclaimable_price=0.9),
+    Load("expensive reclaimable ones", reclaimable_price=0.9),
 )
 
 
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -193,7 +193,7 @@
     lines = [
         f"## {deployment.name}",
         "",
-        "| policies | load | goodput/s (least-most) | offered/s | alert misses | alert p50 s | "
+        "| policies | load | goodput/s (min-max) | offered/s | alert misses | alert p50 s | "
         "alert p99 s | role changes | retries | shed | prefix hits |",
         "|---|---|---|---|---|---|---|---|---|---|---|",
     ]
