--- a/tests/hosted/test_workspaces.py
+++ b/tests/hosted/test_workspaces.py
@@ -1,6 +1,6 @@
 """Authentication of callers by workspace keys at a gateway.
 
-Upstreams get the workspace's name and never the key, and removed keys are no longer served.
+Upstreams get the workspace's name and never the key, and removed keys are refused.
 """
 
 import asyncio
--- a/tests/quality/test_decisions.py
+++ b/tests/quality/test_decisions.py
@@ -27,9 +27,9 @@
 
 def test_the_same_seed_gives_the_same_decisions():
     first = run_once(TRUST, IN_USE, 0.5, SEED)[1].decisions
-    again = run_once(TRUST, IN_USE, 0.5, SEED)[1].decisions
+    repeated = run_once(TRUST, IN_USE, 0.5, SEED)[1].decisions
     other = run_once(TRUST, IN_USE, 0.5, SEED + 1)[1].decisions
-    assert first == again
+    assert first == repeated
     assert first != other
 
 
