--- a/src/swifttrestle_standins/fleet.py
+++ b/src/swifttrestle_standins/fleet.py
@@ -27,7 +27,7 @@
 
 
 def wait_until(check: Any, seconds: float = 60.0, what: str = "condition") -> Any:
-    """Poll `check` and return its first true value; raises TimeoutError after `seconds`."""
+    """Poll `check` and return its first true value; raise TimeoutError after `seconds`."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         value = check()
--- a/src/swifttrestle_standins/hosted/site.py
+++ b/src/swifttrestle_standins/hosted/site.py
@@ -29,7 +29,7 @@
 
 
 async def wait_until(check: Callable[[], Any], what: str = "condition") -> Any:
-    """Poll `check` and return its first true value; raises TimeoutError."""
+    """Poll `check` and return its first true value; raise TimeoutError."""
     try:
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while not (value := check()):
--- a/src/swifttrestle_standins/hosted/store.py
+++ b/src/swifttrestle_standins/hosted/store.py
@@ -127,7 +127,7 @@
         return StoreCopy(self.revision, dict(self.objects), tuple(self._events))
 
     def restore(self, copy: StoreCopy) -> None:
-        """Restore the store from a copy, losing later writes; raises the epoch.
+        """Restore the store from a copy, losing later writes, and raise the epoch.
 
         Revisions continue from the copy's. Pending watches stay open and report no event until
         revisions pass theirs.
