--- a/tests/cover/test_entries.py
+++ b/tests/cover/test_entries.py
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("spec", [None, 7, "text", [], [GOOD], True])
 def test_a_record_that_is_not_a_map_is_refused(spec):
-    with pytest.raises(BadEntryError, match="no map"):
+    with pytest.raises(BadEntryError, match="not a JSON object"):
         read_upstream("i", spec)
 
 
