--- a/bench/division.py
+++ b/bench/division.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class FailureScenario:
     """Events at half of the run: lost engines, and the share of prompts with a popular document."""
 
     name: str
@@ -134,7 +134,7 @@
     arrivals: Counter[str] = field(default_factory=Counter)
 
     @property
-    def again_share(self) -> float:
+    def reread_share(self) -> float:
         """Share of the prefilled tokens that repeat an earlier prefill of a shared part."""
         return self.reread / max(1, self.read)
 
@@ -153,7 +153,12 @@
     """One simulation of a workload with a scenario of failures under a division."""
 
     def __init__(
-        self, workload: Workload, scenario: Story, division: Division, seed: int, seconds: float
+        self,
+        workload: Workload,
+        scenario: FailureScenario,
+        division: Division,
+        seed: int,
+        seconds: float,
     ) -> None:
         """Prepare a run, which is determined by its seed."""
         self._seconds = seconds
@@ -276,7 +281,7 @@
         cached_tokens = actual_cache.count(prompt.parts)
         if fetch is not None:
             cached_tokens = max(
-                cached_tokens, self._caches[fetch.source.name].count_read(prompt.parts)
+                cached_tokens, self._caches[fetch.source.name].count_prefilled(prompt.parts)
             )
         self._count_tokens(prompt, cached_tokens)
         seconds = (prompt.tokens - cached_tokens) / self._workload.effective_read_rate + (
@@ -345,18 +350,18 @@
 )
 WORKLOADS = (SCREENING, SCORES, SMALL)
 SCENARIOS = (
-    Story("calm"),
-    Story("an engine lost", lost_engines=1),
-    Story("a zone lost", lost_zones=1),
-    Story("a popular part", popular=0.2),
-    Story("a very popular part", popular=0.5),
+    FailureScenario("calm"),
+    FailureScenario("an engine lost", lost_engines=1),
+    FailureScenario("a zone lost", lost_zones=1),
+    FailureScenario("a popular part", popular=0.2),
+    FailureScenario("a very popular part", popular=0.5),
 )
 DIVISIONS = (ByCaller(), ByPart())
 
 
 def play(
     workload: Workload,
-    scenario: Story,
+    scenario: FailureScenario,
     division: Division,
     seed: int = 1,
     seconds: float = RUN_SECONDS,
@@ -372,7 +377,7 @@
         print(
             f"{workload.name:36} {scenario.name:20} {division.name:19} "
             f"read {found.read / 1e6:5.1f} M, reread {found.reread / 1e6:5.1f} M "
-            f"({100 * found.again_share:2.0f} %), once {found.first_read / 1e6:4.1f} M, "
+            f"({100 * found.reread_share:2.0f} %), once {found.first_read / 1e6:4.1f} M, "
             f"in time {found.in_time_share:.3f}, refused {found.refused / found.prompts:.3f}, "
             f"busiest {found.peak_to_mean:.2f}"
         )
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -88,7 +88,7 @@
         self._model, self.zone, self._large, self._relays_changes = model, zone, large, should_relay
         self.take: Callable[[ListingChanges], None] = lambda _: None
 
-    def receive(self, take: Callable[[ListingChanges], None]) -> None:
+    def set_receiver(self, take: Callable[[ListingChanges], None]) -> None:
         """Set the callback for received changes."""
         self.take = take
 
@@ -147,15 +147,15 @@
         tasks = [asyncio.ensure_future(discovery.run()) for discovery in self._discoveries]
         tasks.append(asyncio.ensure_future(self.change()))
         await asyncio.sleep(STEADY_SECONDS + self.rng.random())
-        copy = self.stand_in.take_copy()
+        copy = self.stand_in.copy_contents()
         self.put("late")
         self.stand_in.remove("servers", "s1")
         await asyncio.sleep(COPY_SECONDS)
-        self.set_way("busy" if outage.seconds else "up")
+        self.set_failure_mode("busy" if outage.seconds else "up")
         await asyncio.sleep(outage.seconds)
         if not outage.plain:
             self.stand_in.restore(copy)
-        self.set_way("up")
+        self.set_failure_mode("up")
         found = await self.measure_recovery()
         for task in tasks:
             task.cancel()
@@ -173,7 +173,7 @@
         self.put("new")
         left = used = TIMEOUT_SECONDS
         calls, missed, wrong = 0, 0.0, 0.0
-        loop.call_later(REWRITE_SECONDS, self.stand_in.write_all_again)
+        loop.call_later(REWRITE_SECONDS, self.stand_in.repeat_all_writes)
         while (now := loop.time() - began) < TIMEOUT_SECONDS:
             await asyncio.sleep(POLL_SECONDS)
             missed += POLL_SECONDS * (len(self.fleets) - self.count_using("late"))
@@ -204,10 +204,10 @@
         }  # fmt: skip
         self.stand_in.put("servers", name, spec)
 
-    def set_way(self, way: str) -> None:
+    def set_failure_mode(self, way: str) -> None:
         """Set the failure mode of all hosts' calls."""
         for client in self.clients:
-            client.set_way(way)
+            client.set_failure_mode(way)
 
     def count_calls(self) -> int:
         """Return the total number of calls by all hosts."""
@@ -217,7 +217,7 @@
         """Return the number of hosts that send new work to an upstream."""
         return sum(
             known is not None and not known.record.leaving
-            for known in (fleet.find_start(name) for fleet in self.fleets)
+            for known in (fleet.find_current_incarnation(name) for fleet in self.fleets)
         )
 
 
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -96,7 +96,7 @@
             name, self._now()
         )
         self.known = False
-        relay.receive(self._apply_relayed)
+        relay.set_receiver(self._apply_relayed)
 
     @property
     def store_unreachable(self) -> bool:
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -84,7 +84,7 @@
         self._pending_queries: set[float] = set()
         self._last_reply_at = float("-inf")
         self._was_fresh = True
-        socket.receive(DatagramKind.FRESHNESS, self._receive)
+        socket.set_receiver(DatagramKind.FRESHNESS, self._receive)
         configuration.relies_on_peers = self._relies_on_peers
 
     @property
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -105,7 +105,7 @@
 
     async def start(self, seeds: list[str]) -> None:
         """Listen on the internal port for datagrams and TCP streams."""
-        self._socket.receive(DatagramKind.REPORT, self._handle_report)
+        self._socket.set_receiver(DatagramKind.REPORT, self._handle_report)
         await self._socket.open()
         await self._exchange.open()
         self._started_at = self._now()
--- a/src/swifttrestle/internal/coordination/listing_relay.py
+++ b/src/swifttrestle/internal/coordination/listing_relay.py
@@ -32,9 +32,11 @@
         self._host = host
         self._list_members = list_members
 
-    def receive(self, handle: Callable[[ListingChanges], None]) -> None:
+    def set_receiver(self, handle: Callable[[ListingChanges], None]) -> None:
         """Call `handle` with the changes that other hosts send."""
-        self._socket.receive(DatagramKind.LISTING, lambda data, _: handle(unpack_changes(data)))
+        self._socket.set_receiver(
+            DatagramKind.LISTING, lambda data, _: handle(unpack_changes(data))
+        )
 
     def should_watch(self) -> bool:
         """Return whether this host must watch the list itself."""
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -132,7 +132,7 @@
         """Seconds without a heartbeat after which a peer counts as silent."""
         return self._heartbeat * MAX_MISSED_HEARTBEATS
 
-    def heard(self) -> list[PeerView]:
+    def list_live_views(self) -> list[PeerView]:
         """Return the last reported state of all peers that are not silent."""
         with self._lock:
             names = list(self._views)
@@ -145,7 +145,7 @@
             identity = read_member(stored)
             if identity and identity.role == role:
                 found[identity.name] = identity
-        for view in self.heard():
+        for view in self.list_live_views():
             known = found.get(view.identity.name)
             newer = known is None or known.incarnation < view.identity.incarnation
             if view.identity.role == role and newer:
--- a/src/swifttrestle/internal/coordination/orders.py
+++ b/src/swifttrestle/internal/coordination/orders.py
@@ -16,7 +16,7 @@
 from swifttrestle.errors import BadPlatformAnswerError, ConflictError
 from swifttrestle.internal.coordination.conditional_writes import read_or_none, write_once
 from swifttrestle.internal.coordination.object_cache import ObjectCache
-from swifttrestle.internal.protocol.engine import EngineAssignment, read_holding
+from swifttrestle.internal.protocol.engine import EngineAssignment, read_assignment
 from swifttrestle.internal.protocol.platform import ObjectApi
 
 ORDER = "EngineOrder"
@@ -75,7 +75,7 @@
             engine,
             int(spec["number"]),
             Stage(spec["stage"]),
-            read_holding(spec["wanted"]),
+            read_assignment(spec["wanted"]),
             int(spec["fence"]),
             str(spec["boot"]),
             version,
--- a/src/swifttrestle/internal/coordination/quarantine_relay.py
+++ b/src/swifttrestle/internal/coordination/quarantine_relay.py
@@ -76,7 +76,7 @@
         self._ring_members: tuple[Member, ...] = ()
         guard.announce_crash_records = self._announce_records
         guard.announce_clearance = self._announce_clearance
-        socket.receive(DatagramKind.CRASHES, self._receive)
+        socket.set_receiver(DatagramKind.CRASHES, self._receive)
 
     def request_sync(self) -> None:
         """Request peers' quarantined records with the next periodic messages."""
--- a/src/swifttrestle/internal/coordination/restored_entries.py
+++ b/src/swifttrestle/internal/coordination/restored_entries.py
@@ -81,5 +81,5 @@
         return None if outdated.withdrawn else replace(record, leaving=True)
 
     def _is_leaving(self, name: str) -> bool:
-        known = self._fleet.find_start(name)
+        known = self._fleet.find_current_incarnation(name)
         return known is not None and known.record.leaving
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -77,11 +77,11 @@
         self._sent_digests: frozenset[bytes] = frozenset()
         # When a message of an aggregator of this host's zone was last received.
         self.aggregator_heard_at = NEVER
-        socket.receive(DatagramKind.ROSTER, self._receive)
+        socket.set_receiver(DatagramKind.ROSTER, self._receive)
 
     def refresh_own(self) -> RosterConfirmation:
         """Return the confirmation of a roster of the zone's hosts that send this one heartbeats."""
-        heard = self._peers.list_heard(self._now())
+        heard = self._peers.list_alive(self._now())
         zone = self._me.zone
         return self._store_roster(
             Roster.of(zone, [self._me, *(i for i in heard if i.zone == zone)])
@@ -93,7 +93,7 @@
         This host receives their heartbeats and reports them until their zone has aggregators again.
         """
         now = self._now()
-        heard = [item for item in self._peers.list_heard(now) if item.zone != self._me.zone]
+        heard = [item for item in self._peers.list_alive(now) if item.zone != self._me.zone]
         covering = [
             digest for digest, at in self._own_rosters.values() if now - at < COVERAGE_SECONDS
         ]
--- a/src/swifttrestle/internal/coordination/usage.py
+++ b/src/swifttrestle/internal/coordination/usage.py
@@ -63,7 +63,9 @@
         self._metrics = metrics
         self._known_collectors: set[str] = set()
         self._drafted_at = float("-inf")
-        socket.receive(DatagramKind.USAGE, lambda data, _: self.meter.take(unpack_counts(data)))
+        socket.set_receiver(
+            DatagramKind.USAGE, lambda data, _: self.meter.take(unpack_counts(data))
+        )
 
     def count_request(self, workspace: str) -> None:
         """Count one request that has just started to run."""
@@ -115,7 +117,7 @@
 
     def _send_counts(self) -> None:
         now = self._clock.now()
-        self.meter.forget_before(self._find_window(now) - KEPT_WINDOWS)
+        self.meter.drop_before(self._find_window(now) - KEPT_WINDOWS)
         recent = range(self._find_window(now - RESEND_SECONDS), self._find_window(now) + 1)
         collectors = self._list_collectors()
         for member in collectors:
--- a/src/swifttrestle/internal/coordination/zone_demand.py
+++ b/src/swifttrestle/internal/coordination/zone_demand.py
@@ -25,7 +25,7 @@
     def sum_own_zone(self, now: float) -> EncodedDemand:
         """Return the demand of this host's zone, summed over the hosts that report to it."""
         zone = self._me.zone
-        hosts = [item.host for item in self._peers.list_heard(now) if item.zone == zone]
+        hosts = [item.host for item in self._peers.list_alive(now) if item.zone == zone]
         return _encode(self._meter.sum_of(hosts, now))
 
     def update_host(self, host: str, demand: EncodedDemand) -> None:
@@ -36,7 +36,7 @@
         """Store the demand of a zone, in place of that of its hosts."""
         for peer in self._peers.peers.values():
             if peer.zone == zone:
-                self._meter.forget_peer(peer.host)
+                self._meter.drop_peer(peer.host)
         sums = _decode(demand)
         if zone == self._me.zone:
             own = self._meter.own(now)
@@ -47,13 +47,13 @@
     def drop_zone(self, zone: str) -> None:
         """Drop a zone's sum, since its hosts report to this host directly."""
         if self._updated_at.pop(zone, None) is not None:
-            self._meter.forget_peer(_make_zone_key(zone))
+            self._meter.drop_peer(_make_zone_key(zone))
 
     def expire(self, now: float) -> None:
         """Drop the demand of hosts and zones whose last report is too old."""
         for peer in self._peers.peers.values():
             if not peer.is_alive(now):
-                self._meter.forget_peer(peer.host)
+                self._meter.drop_peer(peer.host)
         for zone, at in list(self._updated_at.items()):
             if now - at >= PEER_TIMEOUT_SECONDS:
                 self.drop_zone(zone)
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -105,8 +105,8 @@
 
     def _shorten_prefill_wait(self, request: BookingRequest) -> BookingRequest:
         """Return the request with the shorter maximum wait for prefill of late requests."""
-        longest_wait = request.longest_read_wait * LATE_PREFILL_WAIT_SHARE
-        return replace(request, longest_read_wait=longest_wait, latest_read=math.inf)
+        longest_wait = request.max_prefill_wait * LATE_PREFILL_WAIT_SHARE
+        return replace(request, max_prefill_wait=longest_wait, latest_read=math.inf)
 
     def book_now(self, request: BookingRequest) -> Booking | None:
         """Book engines if some are free and no waiting request has precedence, else return None."""
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -92,7 +92,7 @@
             self.announce_leaving(start)
         if backpressure.cool_down != 0.0:
             self._record_cool_down(start, backpressure.cool_down)
-        elif start in self._conditions and self._conditions[start].note_taken(sent_at):
+        elif start in self._conditions and self._conditions[start].note_accepted(sent_at):
             self.on_room()
 
     def is_leaving(self, start: str) -> bool:
--- a/src/swifttrestle/internal/forward/engine_finder.py
+++ b/src/swifttrestle/internal/forward/engine_finder.py
@@ -41,7 +41,7 @@
             request.tokens, engines
         ):
             return self._book(decoder, decoder, request, plan)
-        longest_wait = max(0.0, request.longest_read_wait - waited)
+        longest_wait = max(0.0, request.max_prefill_wait - waited)
         if request.late:
             longest_wait = (request.left - waited) * RETRY_WAIT_SHARE
         request = replace(request, latest_read=request.latest_read - waited)
@@ -114,7 +114,7 @@
         cached_tokens = reader.cache.count(request.parts)
         fetch = plan(reader, cached_tokens)
         tokens = max(0, request.tokens - cached_tokens - (fetch.tokens if fetch else 0))
-        uncached_parts = reader.cache.list_unread(request.parts)
+        uncached_parts = reader.cache.list_uncached(request.parts)
         self._state.note_prompt(reader, request.parts)
         for engine in (reader, decoder):
             self._state.ejector.note_use(engine.name, _now())
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -117,7 +117,7 @@
             urgent=ctx.urgent,
             left=ctx.seconds_left,
             longest_wait=max(0.0, min(longest_wait, ctx.seconds_left)),
-            longest_read_wait=latest_read,
+            max_prefill_wait=latest_read,
             latest_read=latest_read if first else math.inf,
             late=ctx.failed_prefills > 0,
             excluded=frozenset(ctx.excluded),
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -115,7 +115,9 @@
                 Code.UNKNOWN_SERVICE, f"route {route.name} names no declared service"
             )
         seconds = (
-            route.timeout if metadata.patience is None else min(metadata.patience, route.timeout)
+            route.timeout
+            if metadata.deadline_seconds is None
+            else min(metadata.deadline_seconds, route.timeout)
         )
         return Context(
             request,
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -115,7 +115,7 @@
         self._trial_at: dict[str, float] = {}
         conditions.announce_limit = self._announce_limit
         conditions.announce_leaving = self._announce_leaving
-        socket.receive(DatagramKind.PERMIT, self._receive)
+        socket.set_receiver(DatagramKind.PERMIT, self._receive)
 
     async def reserve(self, ctx: Context, *instances: Instance) -> None:
         """Take permits for a request that is sent to some upstreams within PERMIT_SECONDS.
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -107,7 +107,7 @@
         self._schedulers: dict[tuple[str, str], Member | None] = {}
         self._members: tuple[Member, ...] = ()
         self._scheduler = Scheduler(local, state, self._send, list_members)
-        socket.receive(DatagramKind.BOOKING, self._receive)
+        socket.set_receiver(DatagramKind.BOOKING, self._receive)
 
     def serve_queues(self) -> None:
         """Book engines for waiting requests."""
--- a/src/swifttrestle/internal/policy/capacity.py
+++ b/src/swifttrestle/internal/policy/capacity.py
@@ -148,8 +148,8 @@
             counted_non_reclaimable = (
                 max(base, lasting[item.zone]) if item.limit_includes_existing else base
             )
-            count = min(reclaimable, max(0, scaling.most - counted_non_reclaimable))
-            non_reclaimable = max(lasting[item.zone], scaling.least - count)
+            count = min(reclaimable, max(0, scaling.max_upstreams - counted_non_reclaimable))
+            non_reclaimable = max(lasting[item.zone], scaling.min_upstreams - count)
             plans.append(ZonePlan(item.zone, non_reclaimable, count))
         return tuple(plans)
 
@@ -187,4 +187,4 @@
 
 
 def _clamp(count: int, scaling: Scaling) -> int:
-    return max(scaling.least, min(scaling.most, count))
+    return max(scaling.min_upstreams, min(scaling.max_upstreams, count))
--- a/src/swifttrestle/internal/policy/fetching.py
+++ b/src/swifttrestle/internal/policy/fetching.py
@@ -51,7 +51,7 @@
         Source(item, tokens)
         for item in engines
         if not item.leaving and item.name not in excluded
-        if (tokens := item.cache.count_read(parts)) > 0
+        if (tokens := item.cache.count_prefilled(parts)) > 0
     ]
     return sorted(found, key=lambda source: -source.tokens)
 
--- a/src/swifttrestle/internal/policy/revocation.py
+++ b/src/swifttrestle/internal/policy/revocation.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 # Seconds by which clocks may drift apart within the bound.
-CLOCK_MARGIN = 0.1
+CLOCK_MARGIN_SECONDS = 0.1
 # Maximum age in seconds of the configuration at which an unknown key is rejected with 401, which is
 # final for its caller. The key may be newer than an older configuration.
 UNKNOWN_KEY_SECONDS = 1.5
@@ -41,4 +41,4 @@
 
 def is_fresh(age: float, bound: float) -> bool:
     """Return whether a configuration that was confirmed `age` seconds ago may be used for keys."""
-    return age <= bound - CLOCK_MARGIN
+    return age <= bound - CLOCK_MARGIN_SECONDS
--- a/src/swifttrestle/internal/process.py
+++ b/src/swifttrestle/internal/process.py
@@ -125,7 +125,7 @@
         """Return this process's state, without secrets."""
         peers = [
             {**vars(view.identity), "epochs": view.epochs, "open": view.open}
-            for view in self.membership.heard()
+            for view in self.membership.list_live_views()
         ]
         return {
             "settings": self.settings.show(),
--- a/src/swifttrestle/internal/protocol/engine.py
+++ b/src/swifttrestle/internal/protocol/engine.py
@@ -33,7 +33,7 @@
         return {**vars(self), "adapters": list(self.adapters)}
 
 
-def read_holding(value: dict[str, Any]) -> EngineAssignment:
+def read_assignment(value: dict[str, Any]) -> EngineAssignment:
     """Parse an assignment."""
     return EngineAssignment(
         str(value["model"]),
@@ -135,7 +135,7 @@
     try:
         return EngineState(
             str(value["boot"]),
-            read_holding(value),
+            read_assignment(value),
             bool(value["changing"]),
             str(value["last_order"]),
             int(value["active"]),
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -31,7 +31,7 @@
 
     `left` is the time to the deadline. `longest_wait` is the longest wait for engines that still
     meets the latency objective. `max_wait` is the longest wait in all; after `longest_wait`, the
-    request gets only capacity that requests in time leave. `longest_read_wait` is the longest
+    request gets only capacity that requests in time leave. `max_prefill_wait` is the longest
     acceptable predicted wait for prefill; the time already waited is subtracted from it, unless
     the request is `late` and misses its objective anyway. Prefill must end within `latest_read`
     for the objective to be met. `parts` are the parts of the prompt, with ids that differ between
@@ -46,7 +46,7 @@
     urgent: bool
     left: float
     longest_wait: float
-    longest_read_wait: float
+    max_prefill_wait: float
     late: bool = False
     excluded: frozenset[str] = field(default_factory=frozenset)
     parts: tuple[PromptPart, ...] = ()
@@ -62,7 +62,7 @@
             self.priority,
             self.left,
             self.longest_wait,
-            self.longest_read_wait,
+            self.max_prefill_wait,
             self.max_wait,
             self.latest_read,
         )
--- a/src/swifttrestle/internal/state/declared.py
+++ b/src/swifttrestle/internal/state/declared.py
@@ -35,13 +35,14 @@
 class Scaling:
     """Bounds on the number of upstreams of a service, and their prices.
 
-    `least` and `most` bound the upstreams of an availability zone, non-reclaimable and reclaimable
+    `min_upstreams` and `max_upstreams` bound the upstreams of an availability zone,
+    non-reclaimable and reclaimable
     ones together. `prices` is the price of one second of a non-reclaimable upstream, by zone; a
     reclaimable one costs `reclaimable_price` times as much, 1 if the platform offers none.
     """
 
-    least: int
-    most: int
+    min_upstreams: int
+    max_upstreams: int
     boot_seconds: float
     prices: dict[str, float]
     reclaimable_price: float = 1.0
--- a/src/swifttrestle/internal/state/demand.py
+++ b/src/swifttrestle/internal/state/demand.py
@@ -107,7 +107,7 @@
         """Store the load that a peer reports."""
         self._peers[peer] = offered
 
-    def forget_peer(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """Drop the load reported by a peer."""
         self._peers.pop(peer, None)
 
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -166,14 +166,14 @@
         """Return whether an instance of the discovery list is known."""
         return instance in self._current_names
 
-    def find_start(self, instance: str) -> Instance | None:
+    def find_current_incarnation(self, instance: str) -> Instance | None:
         """Return the current incarnation of an instance of the discovery list, or None."""
         name = self._current_names.get(instance)
         return None if name is None else self.instances[name]
 
     def is_stale_record(self, record: UpstreamRecord) -> bool:
         """Return whether a record is of an earlier incarnation than the current one."""
-        known = self.find_start(record.instance)
+        known = self.find_current_incarnation(record.instance)
         return known is not None and record.born < known.record.born
 
     def put(self, record: UpstreamRecord) -> bool:
@@ -185,7 +185,7 @@
         """
         if not record.leaving and self.announced_leaving(record.start):
             record = replace(record, leaving=True)
-        known = self.find_start(record.instance)
+        known = self.find_current_incarnation(record.instance)
         if known is not None and (known.record == record or self.is_stale_record(record)):
             return False
         if known is not None and known.name != record.start:
@@ -226,7 +226,7 @@
 
     def remove(self, instance: str) -> bool:
         """Remove an instance of the discovery list; return whether it was known."""
-        known = self.find_start(instance)
+        known = self.find_current_incarnation(instance)
         if known is None:
             return False
         self._drop(known)
--- a/src/swifttrestle/internal/state/peers.py
+++ b/src/swifttrestle/internal/state/peers.py
@@ -179,7 +179,7 @@
         )
         return min(reported, default=UNKNOWN)
 
-    def list_heard(self, now: float) -> list[Member]:
+    def list_alive(self, now: float) -> list[Member]:
         """Return the members of which this host has received a recent heartbeat."""
         return [
             Member(peer.host, peer.ip, peer.zone, peer.link_mbps)
--- a/src/swifttrestle/internal/state/prompt_cache.py
+++ b/src/swifttrestle/internal/state/prompt_cache.py
@@ -69,7 +69,7 @@
         self._tokens -= cached.tokens
         return cached.read
 
-    def list_unread(self, parts: Sequence[PromptPart]) -> tuple[PromptPart, ...]:
+    def list_uncached(self, parts: Sequence[PromptPart]) -> tuple[PromptPart, ...]:
         """Return the parts that need prefill: the first one not cached and all after it."""
         for number, item in enumerate(parts):
             if item.part not in self._parts:
@@ -78,10 +78,10 @@
 
     def count(self, parts: Sequence[PromptPart]) -> int:
         """Return the tokens of the leading parts that are cached and need no prefill."""
-        cached = len(parts) - len(self.list_unread(parts))
+        cached = len(parts) - len(self.list_uncached(parts))
         return sum(item.tokens for item in parts[:cached])
 
-    def count_read(self, parts: Sequence[PromptPart]) -> int:
+    def count_prefilled(self, parts: Sequence[PromptPart]) -> int:
         """Return the tokens of the leading parts whose prefill is confirmed, not just booked."""
         tokens = 0
         for item in parts:
--- a/src/swifttrestle/internal/state/upstream_conditions.py
+++ b/src/swifttrestle/internal/state/upstream_conditions.py
@@ -68,7 +68,7 @@
         if self.awaiting_trial:
             self.tried_until = now + TRIAL_SECONDS
 
-    def note_taken(self, sent_at: float) -> bool:
+    def note_accepted(self, sent_at: float) -> bool:
         """Record that it accepted a request sent at `sent_at`; return whether its trial ends."""
         if not self.awaiting_trial or sent_at < self.cool_down_until:
             return False
--- a/src/swifttrestle/internal/state/usage.py
+++ b/src/swifttrestle/internal/state/usage.py
@@ -90,7 +90,7 @@
             for name in names
         }
 
-    def forget_before(self, window: int) -> None:
+    def drop_before(self, window: int) -> None:
         """Drop all windows before the given one."""
         for old in [item for item in self._windows if item < window]:
             del self._windows[old]
--- a/src/swifttrestle/internal/transport/datagrams.py
+++ b/src/swifttrestle/internal/transport/datagrams.py
@@ -33,7 +33,7 @@
         self._receivers: dict[int, Receiver] = {}
         self._transport: asyncio.DatagramTransport | None = None
 
-    def receive(self, kind: DatagramKind, receiver: Receiver) -> None:
+    def set_receiver(self, kind: DatagramKind, receiver: Receiver) -> None:
         """Pass datagrams of a kind, with their sender's IP, to `receiver`.
 
         The receiver raises FrameError for a malformed datagram.
--- a/src/swifttrestle/platform/records.py
+++ b/src/swifttrestle/platform/records.py
@@ -171,8 +171,9 @@
     fields = _Fields("scaling", raw)
     prices = raw.get("zonePrices") or {}
     return Scaling(
-        least=fields.read_optional("min", lambda value: check_integer(value, 0, MAX_INT64)) or 0,
-        most=fields.read("max", lambda value: check_integer(value, 0, MAX_INT64)),
+        min_upstreams=fields.read_optional("min", lambda value: check_integer(value, 0, MAX_INT64))
+        or 0,
+        max_upstreams=fields.read("max", lambda value: check_integer(value, 0, MAX_INT64)),
         boot_seconds=fields.read_optional("bootS", lambda value: check_number(value, 0, 1e6))
         or 0.0,
         prices={str(zone): float(price) for zone, price in prices.items()},
--- a/src/swifttrestle/platform/wire.py
+++ b/src/swifttrestle/platform/wire.py
@@ -41,10 +41,12 @@
 
 @dataclass(frozen=True)
 class RequestMetadata:
-    """Metadata from a request's headers; `patience`, the deadline, is in seconds or None."""
+    """Metadata from a request's headers; `deadline_seconds`, the deadline, is in seconds or
+    None.
+    """
 
     request_id: bytes
-    patience: float | None
+    deadline_seconds: float | None
     model: str
     prompt_tokens: int
     output_tokens: int
@@ -57,7 +59,7 @@
     sizes = found.get(TOKEN_SIZES, b"").split(b",")
     return RequestMetadata(
         request_id=found.get(REQUEST_ID, b""),
-        patience=_read_milliseconds(found.get(DEADLINE)),
+        deadline_seconds=_read_milliseconds(found.get(DEADLINE)),
         model=found.get(MODEL, b"").decode("latin-1"),
         prompt_tokens=_read_integer(sizes[0]),
         output_tokens=_read_integer(sizes[1]) if len(sizes) > 1 else 0,
--- a/src/swifttrestle_standins/hosted/demo.py
+++ b/src/swifttrestle_standins/hosted/demo.py
@@ -12,7 +12,7 @@
 from swifttrestle.internal.transport.messages import Body, Framing
 from swifttrestle.internal.transport.pool import ConnectionPool, call_once
 from swifttrestle.internal.transport.upstream import OutgoingRequest
-from swifttrestle_standins.hosted.duties import SCALING, count_kinds
+from swifttrestle_standins.hosted.duties import SCALING, count_engines_by_kind
 from swifttrestle_standins.hosted.site import Site, make_model_service, make_route, wait_until
 from swifttrestle_standins.hosted.upstreams import (
     StandInEngine,
@@ -117,15 +117,15 @@
     """Replace non-reclaimable upstreams by reclaimable ones, then reclaim those of a zone."""
     duties = site.duties
     assert duties is not None
-    await wait_until(lambda: count_kinds(site) == (3, 6), "reclaimable upstreams")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 6), "reclaimable upstreams")
     print_line("ordered: 3 non-reclaimable and 6 reclaimable engines replace 6 non-reclaimable")
     duties.reclaim("hall-b", 0.3)
-    await wait_until(lambda: count_kinds(site) == (3, 4), "the zone's reclaim")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 4), "the zone's reclaim")
     duties.faults.dry_zones.clear()
-    await wait_until(lambda: count_kinds(site) == (3, 6), "new engines in the zone")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 6), "new engines in the zone")
     print_line("hall-b: reclaimed by the platform, and ordered again")
     await wait_until(lambda: any(duties.reports.values()), "a usage report")
-    print_line(f"usage reported, {len(duties.broken)} rules violated by duty calls")
+    print_line(f"usage reported, {len(duties.violations)} rules violated by duty calls")
 
 
 async def run_duties() -> int:
@@ -135,7 +135,7 @@
         wrong_answers = await demonstrate_key_revocation(site)
         await demonstrate_capacity(site)
         assert site.duties is not None
-        return wrong_answers + len(site.duties.broken)
+        return wrong_answers + len(site.duties.violations)
     finally:
         await site.stop()
 
--- a/src/swifttrestle_standins/hosted/direct.py
+++ b/src/swifttrestle_standins/hosted/direct.py
@@ -16,7 +16,8 @@
 class DirectStore(ObjectStore):
     """Calls a stand-in in the same event loop.
 
-    `way` is the failure mode: "up" (none), "busy" (calls fail at once), "silent" (calls time out).
+    `failure_mode` is the failure mode: "up" (none), "busy" (calls fail at once), "silent" (calls
+    time out).
     """
 
     def __init__(
@@ -26,13 +27,13 @@
         self.stand_in = stand_in or StandInStore()
         self.epochs = StoreEpochs()
         self.calls = 0
-        self.way = "up"
+        self.failure_mode = "up"
         self._answer_seconds = answer_seconds
         self._changed = asyncio.Event()
 
-    def set_way(self, way: str) -> None:
+    def set_failure_mode(self, failure_mode: str) -> None:
         """Set the failure mode, also for calls in progress."""
-        self.way = way
+        self.failure_mode = failure_mode
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -48,10 +49,10 @@
         if answer.done() and not failed.done():
             return answer.result()
         answer.cancel()
-        if self.way == "silent":
+        if self.failure_mode == "silent":
             # A lost response never arrives, even if the store recovers before the timeout.
             await asyncio.sleep(deadline - asyncio.get_running_loop().time())
-        raise PlatformUnavailableError(f"{path}: {self.way}")
+        raise PlatformUnavailableError(f"{path}: {self.failure_mode}")
 
     async def _answer(self, method: bytes, path: str, body: Any = None) -> Any:
         await asyncio.sleep(self._answer_seconds)
@@ -63,5 +64,5 @@
         return answer
 
     async def _wait_for_failure(self) -> None:
-        while self.way == "up":
+        while self.failure_mode == "up":
             await self._changed.wait()
--- a/src/swifttrestle_standins/hosted/duties.py
+++ b/src/swifttrestle_standins/hosted/duties.py
@@ -62,7 +62,7 @@
         # Engines that were removed, with their records.
         self.ended: list[StandInEngine] = []
         # Descriptions of the rules that calls violated.
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self._site = site
         self._boot_seconds = boot_seconds
         self._lease_seconds = lease_seconds
@@ -100,22 +100,22 @@
         earlier = [item for item in self.calls if item.subject == call.subject]
         for item in earlier:
             if item.token == call.token and item.holder != call.holder:
-                self.broken.append(
+                self.violations.append(
                     f"{call.holder} and {item.holder} both sent fencing token {call.token}"
                 )
             if item.token > call.token:
-                self.broken.append(f"fencing token {call.token} arrived after {item.token}")
+                self.violations.append(f"fencing token {call.token} arrived after {item.token}")
         recent_holders = [
             item.holder for item in earlier if call.at - item.at < self._lease_seconds
         ]
         holder_changes = [holder for holder, _ in itertools.groupby([*recent_holders, call.holder])]
         if len(holder_changes) > len(set(holder_changes)):
-            self.broken.append(f"lease holders alternated within a lease: {holder_changes}")
+            self.violations.append(f"lease holders alternated within a lease: {holder_changes}")
 
     def _record_report(self, body: dict[str, Any]) -> int:
         window, counts = body["windowId"], body["counts"]
         if self.reports.setdefault(window, counts) != counts:
-            self.broken.append(f"window {window} was reported twice with different counts")
+            self.violations.append(f"window {window} was reported twice with different counts")
         return 200
 
     def _apply_order(self, body: dict[str, Any]) -> int:
@@ -154,9 +154,9 @@
         engine = StandInEngine(f"n{next(self._engine_numbers)}", service, zone, "prefill")
         engine.reclaimable = reclaimable
         self._site.upstreams[engine.instance] = engine
-        self._schedule(self._boot_seconds, lambda: self._bring_up(engine))
+        self._schedule(self._boot_seconds, lambda: self._start_serving(engine))
 
-    async def _bring_up(self, engine: StandInEngine) -> None:
+    async def _start_serving(self, engine: StandInEngine) -> None:
         """Make an engine serve, unless it was removed while it was booting."""
         if engine.instance in self._site.upstreams:
             await self._site.add_upstream(engine)
@@ -191,7 +191,7 @@
             task.cancel()
 
 
-def count_kinds(site: "Site") -> tuple[int, int]:
+def count_engines_by_kind(site: "Site") -> tuple[int, int]:
     """Return the numbers of non-reclaimable and reclaimable engines that serve or boot."""
     engines = [item for item in site.upstreams.values() if isinstance(item, StandInEngine)]
     kinds = [item.reclaimable for item in engines if not site.is_draining(item)]
--- a/src/swifttrestle_standins/hosted/site.py
+++ b/src/swifttrestle_standins/hosted/site.py
@@ -39,7 +39,7 @@
         raise TimeoutError(f"{what} was not reached within {WAIT_TIMEOUT_SECONDS:g} s") from None
 
 
-class Crashing(Enum):
+class CrashMode(Enum):
     """How upstreams crash, as seen by their callers and in the discovery list."""
 
     RESET = "connections are reset; restarts with the same id"
@@ -208,7 +208,7 @@
         self.list_upstream(upstream)
 
     def allow_crashes(
-        self, down_seconds: float, born_increment_ms: int, mode: Crashing = Crashing.RESET
+        self, down_seconds: float, born_increment_ms: int, mode: CrashMode = CrashMode.RESET
     ) -> None:
         """Let deadly requests crash upstreams.
 
@@ -221,7 +221,7 @@
             )
             upstream.crash = functools.partial(self._crash, upstream, crash_and_restart)
 
-    def count_away(self) -> int:
+    def count_crashed(self) -> int:
         """Return the number of upstreams that are down after a crash."""
         return len(self._restart_tasks)
 
@@ -241,18 +241,18 @@
         task.add_done_callback(lambda _: self._restart_tasks.pop(name, None))
 
     async def _crash_and_restart(
-        self, upstream: StandInUpstream, seconds: float, born_increment_ms: int, mode: Crashing
+        self, upstream: StandInUpstream, seconds: float, born_increment_ms: int, mode: CrashMode
     ) -> None:
-        if mode is Crashing.SUPERVISED:
+        if mode is CrashMode.SUPERVISED:
             await self._reset_and_restart(upstream, seconds, born_increment_ms)
             return
         former = upstream.instance
         blackhole_sockets: list[socket.socket] = []
-        if mode is Crashing.SILENT:
+        if mode is CrashMode.SILENT:
             blackhole_sockets = self._blackhole(upstream)
         else:
             await self.stop_upstream(upstream)
-        if mode is not Crashing.RESET:
+        if mode is not CrashMode.RESET:
             # Its discovery record expires.
             self.unlist_upstream(upstream)
         await asyncio.sleep(seconds)
@@ -261,7 +261,7 @@
         for item in blackhole_sockets:
             item.close()
         upstream.restart(upstream.born + born_increment_ms)
-        if mode is Crashing.OTHER_ID:
+        if mode is CrashMode.OTHER_ID:
             upstream.instance = f"{former.partition('-')[0]}-{upstream.born}"
             self.upstreams[upstream.instance] = self.upstreams.pop(former)
             self.addresses[upstream.instance] = address
@@ -297,7 +297,7 @@
         for connection in list(self._connection_sets["store"].open):
             connection.abort()
 
-    def silence_connections(self) -> None:
+    def blackhole_connections(self) -> None:
         """Make all open connections to the store and to upstreams stop responding."""
         for connections in self._connection_sets.values():
             for connection in list(connections.open):
--- a/src/swifttrestle_standins/hosted/store.py
+++ b/src/swifttrestle_standins/hosted/store.py
@@ -117,12 +117,12 @@
             self.revision += 1
             self._record_event(_Event(self.revision, kind, item, True))
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Discard all history, so that watches from older revisions get status 410."""
         self._events.clear()
         self._discarded_through = self.revision
 
-    def take_copy(self) -> StoreCopy:
+    def copy_contents(self) -> StoreCopy:
         """Return a copy of the current contents, to restore later."""
         return StoreCopy(self.revision, dict(self.objects), tuple(self._events))
 
@@ -137,13 +137,13 @@
         self.objects = dict(copy.objects)
         self._events = list(copy.events)
         self._discarded_through = min(self._discarded_through, copy.revision)
-        self.wake()
+        self.notify_watches()
 
     def list_written(self) -> list[tuple[str, str]]:
         """Return the kinds and names that the operator and upstreams wrote."""
         return list(self._external_writes)
 
-    def write_again(self, kind: str, name: str) -> None:
+    def repeat_write(self, kind: str, name: str) -> None:
         """Repeat the last write of an object by the operator or an upstream."""
         spec = self._external_writes[kind, name]
         if spec is None:
@@ -151,10 +151,10 @@
         else:
             self._write(kind, name, spec)
 
-    def write_all_again(self) -> None:
+    def repeat_all_writes(self) -> None:
         """Repeat the last writes of the operator and of all upstreams."""
         for kind, name in self.list_written():
-            self.write_again(kind, name)
+            self.repeat_write(kind, name)
 
     # The store's protocol.
 
@@ -241,7 +241,7 @@
     def _has_events(self, kind: str, since: int) -> bool:
         return any(event.revision > since and event.kind == kind for event in self._events)
 
-    def wake(self) -> None:
+    def notify_watches(self) -> None:
         """Wake pending watches, so that they notice events and changed faults."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -258,4 +258,4 @@
 
     def _record_event(self, event: _Event) -> None:
         self._events.append(event)
-        self.wake()
+        self.notify_watches()
--- a/src/swifttrestle_standins/hosted/upstreams.py
+++ b/src/swifttrestle_standins/hosted/upstreams.py
@@ -71,7 +71,7 @@
     def _add_headers(self, status: int, headers: Sequence[Header]) -> list[Header]:
         rest = self._upstream.rest
         retry_after = [(b"Retry-After", rest)] if rest and status == 503 else []
-        return [*headers, *self._upstream.says, *retry_after]
+        return [*headers, *self._upstream.extra_headers, *retry_after]
 
 
 class StandInUpstream(RequestHandler):
@@ -91,7 +91,7 @@
         self.cancelled: list[str] = []
         self.arrivals: list[tuple[str, dict[str, str]]] = []
         # Headers that are added to all of its responses.
-        self.says: list[Header] = []
+        self.extra_headers: list[Header] = []
         # Retry-After value in seconds; while it is set, all requests are refused as busy.
         self.rest = b""
         # Time of each arrival, in seconds of the event loop's clock.
--- a/src/swifttrestle_standins/virtual_time.py
+++ b/src/swifttrestle_standins/virtual_time.py
@@ -30,12 +30,12 @@
 
     def __init__(self) -> None:
         """Create a loop at virtual time 0."""
-        self._jumping = _VirtualTimeSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._time_selector.now
 
 
 def run_in_virtual_time(work: Coroutine[Any, Any, T]) -> T:
--- a/tests/common/discovery.py
+++ b/tests/common/discovery.py
@@ -7,7 +7,7 @@
 from swifttrestle.internal.coordination.listing_relay import ListingRelay
 from swifttrestle.internal.state.fleet import Fleet
 from swifttrestle_standins.hosted.direct import DirectStore
-from tests.common.fakes import skip_silently
+from tests.common.fakes import make_skipped_entries
 
 RECORD = {
     "service": "alerts",
@@ -18,13 +18,13 @@
 }
 
 
-class Alone(ListingRelay):
+class StandaloneRelay(ListingRelay):
     """The relay of a small fleet, in which each host watches the store itself."""
 
     def __init__(self):
         self.take = None
 
-    def receive(self, take):
+    def set_receiver(self, take):
         self.take = take
 
     def should_watch(self):
@@ -43,7 +43,7 @@
     def __init__(self, seed, relay=None):
         self.store = DirectStore()
         self.fleet = Fleet()
-        self.relay = relay or Alone()
+        self.relay = relay or StandaloneRelay()
         for name in ("s0", "s1"):
             self.store.stand_in.put("servers", name, RECORD)
         self.discovery = Discovery(
@@ -53,14 +53,14 @@
             self.relay,
             changed=lambda: None,
             find_up_since=lambda: float("inf"),
-            skipped=skip_silently(),
+            skipped=make_skipped_entries(),
         )
         self.task = asyncio.ensure_future(self.discovery.run())
 
     async def lose_store(self, failure_mode, seconds):
-        self.store.set_way(failure_mode)
+        self.store.set_failure_mode(failure_mode)
         await asyncio.sleep(seconds)
-        self.store.set_way("up")
+        self.store.set_failure_mode("up")
 
     def knows(self, name):
         return name in self.fleet.instances
--- a/tests/common/fakes.py
+++ b/tests/common/fakes.py
@@ -91,6 +91,6 @@
         self.get(item.kind, item.name)
 
 
-def skip_silently():
+def make_skipped_entries():
     """Return a counter of skipped entries without a metric."""
     return SkippedEntries(lambda kind, field: None)
--- a/tests/cover/test_bookings.py
+++ b/tests/cover/test_bookings.py
@@ -52,7 +52,7 @@
     def __init__(self, network, ip):
         self.network, self.ip = network, ip
 
-    def receive(self, _, receiver):
+    def set_receiver(self, _, receiver):
         self.network.receivers[self.ip] = receiver
 
     def send(self, ip, _, data):
@@ -129,7 +129,7 @@
         found = await asyncio.gather(*asked)
         reader = scheduler.state.fleet.instances["p"]
         own_seconds = REQUEST.tokens / reader.effective_read_rate
-        assert 0 < reader.predict_wait() <= REQUEST.longest_read_wait + own_seconds
+        assert 0 < reader.predict_wait() <= REQUEST.max_prefill_wait + own_seconds
         assert sum(isinstance(item, Booking) for item in found) == 2
         refused = [item.waiting for item in found if isinstance(item, NoCapacity)]
         assert sorted(refused) == [0] + [1] * 7
--- a/tests/cover/test_entries.py
+++ b/tests/cover/test_entries.py
@@ -20,7 +20,7 @@
 from swifttrestle.platform.records import read_upstream
 from swifttrestle_standins.hosted.direct import DirectStore
 from swifttrestle_standins.virtual_time import run_in_virtual_time
-from tests.common.discovery import Alone
+from tests.common.discovery import StandaloneRelay
 
 GOOD = {
     "service": "s",
@@ -192,7 +192,7 @@
         self.fleet = Fleet()
         self.skipped = []
         self.relayed = []
-        relay = Alone()
+        relay = StandaloneRelay()
         relay.send = self.relayed.append
         relay.should_relay = lambda: True
         self.discovery = Discovery(
@@ -244,7 +244,7 @@
         host.put("a", slots=-3)
         host.put("b")
         task = await host.run()
-        host.store.stand_in.forget_history()
+        host.store.stand_in.discard_history()
         host.put("b", slots=8)
         await asyncio.sleep(3)
         assert host.skipped == ["slots"]
--- a/tests/cover/test_fetching.py
+++ b/tests/cover/test_fetching.py
@@ -91,16 +91,16 @@
     cache = PromptCache()
     cache.note(PROMPT, 200_000, read=True)
     cache.note(PROMPT, 200_000)
-    assert cache.count_read(PROMPT) == 9000
+    assert cache.count_prefilled(PROMPT) == 9000
     cache.forget((OWN,))
-    assert cache.count_read(PROMPT) == 8000
+    assert cache.count_prefilled(PROMPT) == 8000
 
 
 @pytest.mark.parametrize("tokens", [0, 10**12])
 def test_parts_of_extreme_sizes_do_not_corrupt_the_cache_model(tokens):
     cache = PromptCache()
     cache.note((PromptPart("m/odd", tokens), *PROMPT), 200_000, read=True)
-    assert 0 <= cache.count_read(PROMPT) <= 9000
+    assert 0 <= cache.count_prefilled(PROMPT) <= 9000
 
 
 def run_booker(act, names="pq"):
--- a/tests/cover/test_gateway_policies.py
+++ b/tests/cover/test_gateway_policies.py
@@ -37,7 +37,7 @@
 from swifttrestle.internal.state.routes import RouteTable
 from swifttrestle.internal.state.store_epochs import StoreEpochs, StoreRevision
 from swifttrestle.platform.objects import Snapshot, StoredObject
-from tests.common.fakes import skip_silently
+from tests.common.fakes import make_skipped_entries
 
 
 def make_instance(name, role=Role.DECODE, zone="a", slots=10, **state):
@@ -219,7 +219,7 @@
     assert meter.total("s", 60.0) == Demand(
         pytest.approx(500, abs=5), pytest.approx(3, abs=0.1), pytest.approx(0, abs=0.1)
     )
-    meter.forget_peer("other")
+    meter.drop_peer("other")
     assert meter.total("s", 200.0).read_tokens < 1
 
 
@@ -360,7 +360,7 @@
 
 
 def make_lease_manager(store, host):
-    manager = DutyLeaseManager(store, "roles", host, 1, DURATION, skip_silently())
+    manager = DutyLeaseManager(store, "roles", host, 1, DURATION, make_skipped_entries())
     manager._takeover_seconds = DURATION
     return manager
 
--- a/tests/cover/test_home_zones.py
+++ b/tests/cover/test_home_zones.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from bench.division import SCREENING, SMALL, ByCaller, ByPart, Story, play
+from bench.division import SCREENING, SMALL, ByCaller, ByPart, FailureScenario, play
 from swifttrestle.errors import InvalidSettingError
 from swifttrestle.internal.forward import scheduled_booking
 from swifttrestle.internal.forward.booking import LocalBooker
@@ -249,10 +249,10 @@
 @pytest.mark.parametrize(
     ("shape", "seconds", "story", "max_share"),
     [
-        (SMALL, 30.0, Story("calm"), 0.15),
-        (SMALL, 30.0, Story("a popular part", popular=0.2), 0.15),
-        (SMALL, 30.0, Story("a zone lost", lost_zones=1), 0.24),
-        (SCREENING, 10.0, Story("calm"), 0.15),
+        (SMALL, 30.0, FailureScenario("calm"), 0.15),
+        (SMALL, 30.0, FailureScenario("a popular part", popular=0.2), 0.15),
+        (SMALL, 30.0, FailureScenario("a zone lost", lost_zones=1), 0.24),
+        (SCREENING, 10.0, FailureScenario("calm"), 0.15),
     ],
     ids=lambda value: getattr(value, "name", None),
 )
@@ -261,5 +261,5 @@
 ):
     by_caller = play(shape, story, ByCaller(), seconds=seconds)
     by_part = play(shape, story, ByPart(), seconds=seconds)
-    assert by_part.again_share <= max_share < by_caller.again_share
+    assert by_part.reread_share <= max_share < by_caller.reread_share
     assert by_part.in_time_share >= by_caller.in_time_share - 0.02
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -198,7 +198,7 @@
         self.network = network
         self.ip = ip
 
-    def receive(self, _kind, receiver):
+    def set_receiver(self, _kind, receiver):
         self.network.receivers[self.ip] = receiver
 
     def send(self, ip, _kind, data):
--- a/tests/cover/test_platform_adapter.py
+++ b/tests/cover/test_platform_adapter.py
@@ -205,13 +205,13 @@
 def test_any_headers_of_a_caller_are_read_or_count_as_missing(headers):
     facts = wire.read_request_metadata(headers)
     assert facts.prompt_tokens >= 0
-    assert facts.patience is None or facts.patience >= 0
+    assert facts.deadline_seconds is None or facts.deadline_seconds >= 0
 
 
 @pytest.mark.parametrize("deadline", [b"nan", b"inf", b"-5", b"x"])
 def test_a_deadline_that_is_not_a_duration_counts_as_missing_or_passed(deadline):
     metadata = wire.read_request_metadata([(b"X-Deadline-Ms", deadline)])
-    assert metadata.patience is None or metadata.patience == 0.0
+    assert metadata.deadline_seconds is None or metadata.deadline_seconds == 0.0
 
 
 def test_no_module_outside_the_adapter_uses_names_of_the_platforms_protocol():
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -46,7 +46,7 @@
     cache = PromptCache()
     cache.note(sent, 100_000)
     assert cache.count(requested) == cached_tokens
-    assert sum(item.tokens for item in cache.list_unread(requested)) == (
+    assert sum(item.tokens for item in cache.list_uncached(requested)) == (
         sum(item.tokens for item in requested) - cached_tokens
     )
 
@@ -69,7 +69,7 @@
 def test_parts_are_dropped_if_their_prefill_failed():
     cache = PromptCache()
     cache.note([SYSTEM], 100_000)
-    unread = cache.list_unread(PROMPT)
+    unread = cache.list_uncached(PROMPT)
     cache.note(PROMPT, 100_000)
     cache.forget(unread)
     assert cache.count(PROMPT) == 2000
--- a/tests/cover/test_prompt_cache_loader.py
+++ b/tests/cover/test_prompt_cache_loader.py
@@ -83,7 +83,7 @@
 def test_a_starting_host_records_the_parts_that_engines_list():
     fleet, calls = run_loader(frame(200, LIST))
     prompt = (PromptPart("m/aa", 4000), PromptPart("m/bb", 30), PromptPart("m/own", 9))
-    assert fleet.instances["e0"].cache.count_read(prompt) == 4030
+    assert fleet.instances["e0"].cache.count_prefilled(prompt) == 4030
     assert len(calls) == 1
     assert calls[0].startswith(b"GET /v1/kv-list ")
 
--- a/tests/cover/test_quarantine_relay.py
+++ b/tests/cover/test_quarantine_relay.py
@@ -58,7 +58,7 @@
         self.network = network
         self.ip = ip
 
-    def receive(self, _, receiver):
+    def set_receiver(self, _, receiver):
         self.network.receivers[self.ip] = receiver
 
     def send(self, ip, _, data):
@@ -303,7 +303,7 @@
             assert suspended.relay._sync_requests_left == 0
             # All of its timers are late by the time of the suspension.
             loop = asyncio.get_running_loop()
-            loop._jumping.now += SUSPENDED_SECONDS + 0.1
+            loop._time_selector.now += SUSPENDED_SECONDS + 0.1
             await asyncio.sleep(0)
             await wait_for(lambda: suspended.relay._sync_requests_left > 0)
 
--- a/tests/cover/test_removals.py
+++ b/tests/cover/test_removals.py
@@ -8,7 +8,7 @@
 from swifttrestle.internal.state.declared import Role, UpstreamRecord
 from swifttrestle.internal.state.store_epochs import StoreRevision
 from swifttrestle_standins.virtual_time import run_in_virtual_time
-from tests.common.discovery import RECORD, Alone, Host
+from tests.common.discovery import RECORD, Host, StandaloneRelay
 
 # Seconds after which a withdrawn instance must get no more work.
 WITHDRAWAL_SECONDS = 2.0
@@ -63,7 +63,7 @@
     run_in_virtual_time(scenario())
 
 
-class Follower(Alone):
+class Follower(StandaloneRelay):
     """The relay of a host in a large fleet that receives changes from others."""
 
     def should_watch(self):
@@ -78,7 +78,7 @@
     """Return a host that knows the list and has lost the store, and the list's revision."""
     host = Host(1, Follower())
     await asyncio.sleep(3.0)
-    host.store.set_way("silent")
+    host.store.set_failure_mode("silent")
     return host, host.discovery._revision
 
 
--- a/tests/cover/test_restored_lease.py
+++ b/tests/cover/test_restored_lease.py
@@ -14,7 +14,7 @@
 from swifttrestle_standins.hosted.direct import DirectStore
 from swifttrestle_standins.hosted.store import StandInStore
 from swifttrestle_standins.virtual_time import run_in_virtual_time
-from tests.common.fakes import skip_silently
+from tests.common.fakes import make_skipped_entries
 
 LEASE_SECONDS = 3.0
 TICK_SECONDS = 0.5
@@ -39,7 +39,7 @@
 
     async def keep_copies(self):
         while True:
-            self.copies = [*self.copies, self.stand_in.take_copy()][-20:]
+            self.copies = [*self.copies, self.stand_in.copy_contents()][-20:]
             await asyncio.sleep(OLDEST_COPY_SECONDS / 20)
 
     async def restore_store(self):
@@ -53,7 +53,7 @@
 
     def _set_store_state(self, state):
         for host in self.hosts:
-            host.store.set_way(state)
+            host.store.set_failure_mode(state)
 
     async def run(self):
         tasks = [asyncio.ensure_future(host.run()) for host in self.hosts]
@@ -72,9 +72,9 @@
         while True:
             await asyncio.sleep(self.rng.random() * 10.0)
             host = self.rng.choice(self.hosts)
-            host.store.set_way(self.rng.choice(("silent", "busy")))
+            host.store.set_failure_mode(self.rng.choice(("silent", "busy")))
             await asyncio.sleep(self.rng.random() * 6.0)
-            host.store.set_way("up")
+            host.store.set_failure_mode("up")
 
 
 class Host:
@@ -85,7 +85,7 @@
         self.site = site
         self.store = DirectStore(site.stand_in)
         self.manager = DutyLeaseManager(
-            self.store, "roles", name, 1, LEASE_SECONDS, skip_silently()
+            self.store, "roles", name, 1, LEASE_SECONDS, make_skipped_entries()
         )
         # Speed of the host's clock.
         self.clock_rate = 1.0 + 0.02 * (site.rng.random() - 0.5)
--- a/tests/cover/test_restored_list.py
+++ b/tests/cover/test_restored_list.py
@@ -37,10 +37,10 @@
 async def restore_store(host, copy, way, outage_seconds):
     """Make the store unavailable for a time, then restore it from a copy."""
     if outage_seconds:
-        host.store.set_way(way)
+        host.store.set_failure_mode(way)
         await asyncio.sleep(outage_seconds)
     host.store.stand_in.restore(copy)
-    host.store.set_way("up")
+    host.store.set_failure_mode("up")
 
 
 async def watch_for(seconds, check):
@@ -56,12 +56,12 @@
     way, outage_seconds, seed
 ):
     async def scenario(host, store):
-        copy = store.take_copy()
+        copy = store.copy_contents()
         store.put("servers", "s2", RECORD)
         await asyncio.sleep(3.0)
         await restore_store(host, copy, way, outage_seconds)
         await watch_for(REWRITE_SECONDS, lambda: host.uses("s2"))
-        store.write_again("servers", "s2")
+        store.repeat_write("servers", "s2")
         await watch_for(5.0, lambda: host.uses("s2"))
 
     run_scenario(scenario, seed)
@@ -73,7 +73,7 @@
     way, outage_seconds, seed
 ):
     async def scenario(host, store):
-        copy = store.take_copy()
+        copy = store.copy_contents()
         store.put("servers", "s2", RECORD)
         await asyncio.sleep(3.0)
         await restore_store(host, copy, way, outage_seconds)
@@ -88,7 +88,7 @@
 @on_seeds
 def test_a_draining_upstream_does_not_become_ready_by_an_older_copy(way, outage_seconds, seed):
     async def scenario(host, store):
-        copy = store.take_copy()
+        copy = store.copy_contents()
         store.put("servers", "s0", DRAINING)
         await asyncio.sleep(3.0)
         assert not host.uses("s0")
@@ -108,13 +108,13 @@
     way, outage_seconds, seed
 ):
     async def scenario(host, store):
-        copy = store.take_copy()
+        copy = store.copy_contents()
         store.remove("servers", "s0")
         await asyncio.sleep(3.0)
         assert not host.knows("s0")
         await restore_store(host, copy, way, outage_seconds)
         await watch_for(REWRITE_SECONDS, lambda: not host.uses("s0"))
-        store.write_again("servers", "s0")
+        store.repeat_write("servers", "s0")
         await watch_for(8.0, lambda: not host.uses("s0"))
 
     run_scenario(scenario, seed)
@@ -126,7 +126,7 @@
     way, outage_seconds, seed
 ):
     async def scenario(host, store):
-        copy = store.take_copy()
+        copy = store.copy_contents()
         store.remove("servers", "s0")
         await asyncio.sleep(3.0)
         # It writes what the copy already holds, so its entry does not change.
@@ -141,7 +141,7 @@
 @on_seeds
 def test_changes_after_a_restore_are_known_in_time(way, outage_seconds, seed):
     async def scenario(host, store):
-        copy = store.take_copy()
+        copy = store.copy_contents()
         for number in range(40):
             store.put("others", "counter", number)
         store.put("servers", "s1", {**RECORD, "seq": 1})
@@ -159,17 +159,17 @@
 @on_seeds
 def test_two_restores_in_a_row_leave_the_newest_list(seed):
     async def scenario(host, store):
-        first = store.take_copy()
+        first = store.copy_contents()
         store.put("servers", "s2", RECORD)
         await asyncio.sleep(1.0)
-        second = store.take_copy()
+        second = store.copy_contents()
         store.put("servers", "s0", DRAINING)
         await asyncio.sleep(2.0)
         await restore_store(host, second, "busy", 0.4)
         await asyncio.sleep(0.1 + 0.1 * seed)
         await restore_store(host, first, "busy", 0.4)
         await watch_for(REWRITE_SECONDS, lambda: host.uses("s2") and not host.uses("s0"))
-        store.write_all_again()
+        store.repeat_all_writes()
         await watch_for(5.0, lambda: host.uses("s2") and not host.uses("s0"))
 
     run_scenario(scenario, seed)
--- a/tests/cover/test_revocation.py
+++ b/tests/cover/test_revocation.py
@@ -33,7 +33,7 @@
     ("known", "age", "bound", "wanted"),
     [
         (True, FRESH_AGE, BOUND, Verdict.ALLOWED),
-        (True, BOUND - revocation.CLOCK_MARGIN, BOUND, Verdict.ALLOWED),
+        (True, BOUND - revocation.CLOCK_MARGIN_SECONDS, BOUND, Verdict.ALLOWED),
         (True, OLD_AGE, BOUND, Verdict.UNCONFIRMED),
         (True, float("inf"), BOUND, Verdict.UNCONFIRMED),
         (True, float("inf"), float("inf"), Verdict.ALLOWED),
@@ -160,7 +160,7 @@
     # A host whose query was lost queries all zones with the next one.
     assert max_age + query_interval >= BOUND * freshness_monitor.WIDEN_AGE_SHARE
     # The rest of the bound covers an outage of the store in which no request is refused.
-    assert BOUND - revocation.CLOCK_MARGIN - max_age >= 3.0
+    assert BOUND - revocation.CLOCK_MARGIN_SECONDS - max_age >= 3.0
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -65,7 +65,7 @@
     fleet, former = build_fleet_with_state()
     assert list_sources([former], PROMPT_PARTS, ())
     assert fleet.put(LATER)
-    current = fleet.find_start("e")
+    current = fleet.find_current_incarnation("e")
     assert fleet.list_service("s") == [current]
     assert (current.total, current.role, current.refused_until) == (
         NO_WORK,
@@ -80,14 +80,14 @@
 def test_reports_on_an_earlier_incarnation_change_nothing():
     fleet, _ = build_fleet_with_state()
     fleet.put(LATER)
-    current = fleet.find_start("e")
+    current = fleet.find_current_incarnation("e")
     fleet.note_prompt(SentPrompt(FIRST.start, PROMPT_PARTS, read=True))
     fleet.note_peer("peer", {FIRST.start: OpenWork(700, 3)}, now=1.0)
     fleet.note_ordered_role(FIRST.start, Role.DECODE, ready_at=6.0)
     roles = RoleOrders(fleet, lambda: 1.0)
     roles.take({FIRST.start: ("decode", 2.0)}, "peer")
     assert not fleet.put(replace(FIRST, leaving=True))
-    assert fleet.find_start("e") is current
+    assert fleet.find_current_incarnation("e") is current
     assert (current.total, current.role, current.leaving) == (NO_WORK, Role.PREFILL, False)
     assert current.cache.count(PROMPT_PARTS) == 0
 
@@ -96,9 +96,9 @@
     fleet, _ = build_fleet_with_state()
     fleet.put(LATER)
     fleet.note_peer("peer", {LATER.start: OpenWork(700, 3)}, now=1.0)
-    assert fleet.find_start("e").peers == OpenWork(700, 3)
+    assert fleet.find_current_incarnation("e").peers == OpenWork(700, 3)
     fleet.expire_peers(now=10.0)
-    assert fleet.find_start("e").peers == NO_WORK
+    assert fleet.find_current_incarnation("e").peers == NO_WORK
 
 
 def test_an_instance_without_a_start_time_keeps_its_state():
@@ -106,7 +106,7 @@
     fleet.put(replace(FIRST, born=0))
     fleet.note_prompt(SentPrompt("e", PROMPT_PARTS, read=True))
     fleet.put(replace(FIRST, born=0, slots=9))
-    assert fleet.find_start("e").cache.count(PROMPT_PARTS) == 4000
+    assert fleet.find_current_incarnation("e").cache.count(PROMPT_PARTS) == 4000
 
 
 def test_a_removed_instance_may_be_listed_again_with_any_start_time():
--- a/tests/cover/test_store_epochs.py
+++ b/tests/cover/test_store_epochs.py
@@ -85,7 +85,7 @@
     async def _call(self, method, path, body, seconds=WRITE_TIMEOUT_SECONDS):
         page = await super()._call(method, path, body, seconds)
         if page["hasMore"]:
-            self.stand_in.restore(self.stand_in.take_copy())
+            self.stand_in.restore(self.stand_in.copy_contents())
         return page
 
 
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -17,7 +17,7 @@
 from swifttrestle.internal.coordination.duty_lease import SEND_SECONDS, DutyLeaseManager
 from swifttrestle.internal.state.store_epochs import StoreEpochs, StoreRevision
 from swifttrestle.platform.objects import StoredObject
-from tests.common.fakes import skip_silently
+from tests.common.fakes import make_skipped_entries
 
 SOURCES = Path(clock.__file__).parents[1]
 SUSPENDED_SECONDS = 7.0
@@ -70,7 +70,9 @@
             return StoredObject(kind, name, StoreRevision(0, 2), spec)
 
     async def work():
-        manager = DutyLeaseManager(StoreSuspendedInWrite(), "roles", "h1", 1, 1.0, skip_silently())
+        manager = DutyLeaseManager(
+            StoreSuspendedInWrite(), "roles", "h1", 1, 1.0, make_skipped_entries()
+        )
         assert await manager.try_acquire()
         _, until = await manager.record("e1", "decode")
         return asyncio.get_running_loop().time() - until
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -55,7 +55,7 @@
 PUSH_SECONDS = quarantine_relay.PUSH_SECONDS
 # The bound until a revoked key is refused, and the longest intervals between confirmations.
 KEYS_BOUND_SECONDS = 5.0
-KEYS_SECONDS = KEYS_BOUND_SECONDS - revocation.CLOCK_MARGIN
+KEYS_SECONDS = KEYS_BOUND_SECONDS - revocation.CLOCK_MARGIN_SECONDS
 MAX_JITTER_FACTOR = 1 + freshness_monitor.JITTER_SHARE / 2
 READ_INTERVAL_SECONDS = (
     KEYS_BOUND_SECONDS * freshness_monitor.READ_INTERVAL_SHARE * MAX_JITTER_FACTOR
--- a/tests/cover/test_usage.py
+++ b/tests/cover/test_usage.py
@@ -74,7 +74,7 @@
     meter.take(WindowCounts("there 2", 10, {"club": 5}))
     assert meter.sum(10) == {"club": 9, "liaison": 1}
     assert meter.list_own([9, 10]) == [WindowCounts("here 1", 10, {"club": 1})]
-    meter.forget_before(11)
+    meter.drop_before(11)
     assert meter.list_windows() == []
 
 
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -145,7 +145,7 @@
         now = asyncio.get_running_loop().time()
         # Offered work is averaged over four seconds.
         state.demand.note_arrival("s", "r", int(offered * reader.effective_read_rate * 4), now)
-        request = replace(REQUEST, longest_read_wait=10.0, latest_read=10.0)
+        request = replace(REQUEST, max_prefill_wait=10.0, latest_read=10.0)
         booking = asyncio.ensure_future(booker.book(request))
         await run_pending_tasks()
         assert booking.done() is refused
--- a/tests/hosted/sites.py
+++ b/tests/hosted/sites.py
@@ -99,7 +99,7 @@
     """Restore the store from a copy, after an outage of `outage_seconds`."""
     if outage_seconds:
         site.store.faults.down = True
-        site.store.wake()
+        site.store.notify_watches()
         await asyncio.sleep(outage_seconds)
         site.store.faults.down = False
     site.store.restore(copy)
--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -104,7 +104,7 @@
 @on_site(gateways=2)
 async def test_an_outage_of_the_store_fails_no_request_and_removes_no_upstream(site):
     site.store.faults.down = True
-    site.store.wake()
+    site.store.notify_watches()
     await asyncio.sleep(1.5)
     for number in range(6):
         assert (await ask(address_of(site), "/goal/a", f"g{number}")).status == 200
@@ -120,7 +120,7 @@
 @on_site()
 async def test_the_store_is_listed_again_after_its_history_was_truncated(site):
     site.unlist_upstream(site.upstreams["s0"])
-    site.store.forget_history()
+    site.store.discard_history()
     await site.add_upstream(StandInUpstream("s9", "alerts", "hall-a"))
     await wait_until(lambda: gateway(site).knows_instance("s9"), "new instance")
     await wait_until(lambda: not gateway(site).knows_instance("s0"), "removed instance")
@@ -144,7 +144,7 @@
 @on_site(gateways=2)
 async def test_a_gateway_that_starts_in_an_outage_uses_its_peers_configuration(site):
     site.store.faults.down = True
-    site.store.wake()
+    site.store.notify_watches()
     running = await site.add_gateway("late", 7)
     await wait_until(lambda: running.gateway.config_version == 3, "version from a peer")
     answer = await ask(address_of(site, "late"), "/nothing/a", "x1")
@@ -414,7 +414,7 @@
 async def test_a_new_version_is_applied_although_no_open_connection_responds(site):
     # A watch of the configuration is long, and gets no answer on a dead connection.
     await wait_until(lambda: len(gateway(site).live_hosts()) == 3, "peers")
-    site.silence_connections()
+    site.blackhole_connections()
     site.routes.append({**site.routes[2], "name": "added", "pathPrefix": "/added/"})
     version = site.declare()
     for name in site.gateways:
@@ -423,7 +423,7 @@
 
 @on_site()
 async def test_a_removed_upstream_is_noticed_although_no_open_connection_responds(site):
-    site.silence_connections()
+    site.blackhole_connections()
     site.unlist_upstream(site.upstreams["s0"])
     await wait_until(lambda: not gateway(site).knows_instance("s0"), "removed instance")
 
@@ -435,7 +435,7 @@
     await site.wait_ready("g1")
     cached = (PromptPart("m/aa", 4000),)
     await wait_until(
-        lambda: gateway(site, "g1").list_instances()["e0"].cache.count_read(cached) == 4000,
+        lambda: gateway(site, "g1").list_instances()["e0"].cache.count_prefilled(cached) == 4000,
         "the engine's cached prompts",
     )
 
@@ -457,7 +457,7 @@
     candidates = gateway(site)._gossip.candidates
     await wait_until(lambda: candidates.holds_duty_lease, "lease")
     site.store.faults.down = True
-    site.store.wake()
+    site.store.notify_watches()
     await wait_until(
         lambda: candidates.store_unreachable and gateway(site)._discovery.store_unreachable,
         "the outage to be noticed",
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -10,7 +10,7 @@
 
 from swifttrestle.internal.forward.gateway_state import LATE_DATA_SECONDS
 from swifttrestle.internal.policy import scheduling
-from swifttrestle_standins.hosted.site import Crashing, wait_until
+from swifttrestle_standins.hosted.site import CrashMode, wait_until
 from swifttrestle_standins.hosted.upstreams import DEADLY, DEADLY_PROMPT
 from tests.common.http import ask
 from tests.hosted.sites import LONG, SHORT, address_of, on_site
@@ -127,7 +127,7 @@
     await wait_until(lambda: all(len(item.quarantine) for item in guards), "known at all hosts")
 
 
-@pytest.mark.parametrize("mode", [Crashing.OTHER_ID, Crashing.SILENT], ids=["other id", "silent"])
+@pytest.mark.parametrize("mode", [CrashMode.OTHER_ID, CrashMode.SILENT], ids=["other id", "silent"])
 @on_site(gateways=3, plain=8)
 async def test_upstreams_that_crash_in_other_ways_count_as_well(site, mode):
     # A crash without closed connections is detected only after the request has timed out, so that
@@ -135,7 +135,7 @@
     await report_starts(site)
     site.allow_crashes(1.0, LATER_START_MS, mode)
     answers = await send_repeatedly(site, "/card/a", DEADLY, {}, attempts=8)
-    assert len(site.crashes) <= MAX_CRASHES + (mode is Crashing.SILENT)
+    assert len(site.crashes) <= MAX_CRASHES + (mode is CrashMode.SILENT)
     assert answers[-1].status == 503
 
 
@@ -146,12 +146,12 @@
 ):
     """Guards against missing crashes of upstreams whose supervisor holds the listening socket."""
     await report_starts(site)
-    site.allow_crashes(1.0, LATER_START_MS, Crashing.SUPERVISED)
+    site.allow_crashes(1.0, LATER_START_MS, CrashMode.SUPERVISED)
     answers = []
     for _ in range(6):
         answers += await send_repeatedly(site, path, body, headers, attempts=1)
         # A host can detect the crash only once the discovery list contains the restarted upstream.
-        await wait_until(lambda: not site.count_away(), "all upstreams back")
+        await wait_until(lambda: not site.count_crashed(), "all upstreams back")
         await wait_until(lambda: all_hosts_list_restarted(site), "all restarts listed")
         # Hosts wait for late data before they close connections, and before they report the crash.
         await asyncio.sleep(2 * LATE_DATA_SECONDS + PAUSE_SECONDS)
@@ -166,7 +166,7 @@
     await send_repeatedly(site, path, body, headers)
     before = len(site.crashes)
     await restart_hosts(site)
-    await wait_until(lambda: not site.count_away(), "all upstreams back")
+    await wait_until(lambda: not site.count_crashed(), "all upstreams back")
     await send_repeatedly(site, path, body, headers)
     assert before <= MAX_CRASHES
     assert len(site.crashes) == before
--- a/tests/hosted/test_draining_and_cool_down.py
+++ b/tests/hosted/test_draining_and_cool_down.py
@@ -51,7 +51,7 @@
 async def test_an_upstream_whose_answers_say_that_it_drains_gets_no_more_work(site, load, store):
     async with load_of(site, load):
         upstream = await find_busiest(site, load)
-        upstream.says = LEAVING
+        upstream.extra_headers = LEAVING
         began = asyncio.get_running_loop().time()
         if store == "down":
             site.store.faults.down = True
@@ -71,7 +71,7 @@
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 4)
     async with load_of(site, load):
         upstream = await find_busiest(site, load)
-        upstream.says = LEAVING
+        upstream.extra_headers = LEAVING
         began = asyncio.get_running_loop().time()
         await asyncio.sleep(DRAIN_SECONDS * 2)
     assert count_since(upstream, began + DRAIN_SECONDS) == 0
--- a/tests/hosted/test_duties.py
+++ b/tests/hosted/test_duties.py
@@ -7,7 +7,7 @@
 import pytest
 
 from swifttrestle.internal.duty_report import describe_duties
-from swifttrestle_standins.hosted.duties import SCALING, count_kinds
+from swifttrestle_standins.hosted.duties import SCALING, count_engines_by_kind
 from swifttrestle_standins.hosted.site import wait_until
 from swifttrestle_standins.hosted.upstreams import StandInEngine
 from tests.common.http import ask
@@ -44,7 +44,7 @@
 
 
 def check_calls(site):
-    assert site.duties.broken == []
+    assert site.duties.violations == []
 
 
 async def send(site, count, gateway="g0", key="key-1"):
@@ -167,7 +167,7 @@
     lowest_count = [9]
 
     def is_settled():
-        lasting, reclaimable = count_kinds(site)
+        lasting, reclaimable = count_engines_by_kind(site)
         lowest_count[0] = min(lowest_count[0], lasting + reclaimable)
         return (lasting, reclaimable) == (3, 9)
 
@@ -185,7 +185,7 @@
             await asyncio.sleep(0.5)
             name = f"{zone}-{number}"
             await site.add_upstream(StandInEngine(name, "model", zone, "prefill"))
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled with the need of nine")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 9), "settled with the need of nine")
     first = next(call for call in site.duties.calls if "/scale" in call.subject)
     assert first.body["spot"] is True
 
@@ -199,14 +199,14 @@
     for zone in ("hall-a", "hall-b", "hall-c"):
         await site.add_upstream(StandInEngine(f"{zone}-2", "model", zone, "prefill"))
     # The need is nine engines; the partial need of six would end with six reclaimable ones.
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled with the need of nine")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 9), "settled with the need of nine")
 
 
 @on_duty_site(engines=3)
 async def test_a_reclaimed_zone_is_ordered_again_until_upstreams_are_available(site):
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 9), "settled")
     site.duties.reclaim("hall-b", 0.3)
-    await wait_until(lambda: count_kinds(site) == (3, 6), "reclaimed")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 6), "reclaimed")
     calls_before = len(site.duties.calls)
     await asyncio.sleep(4.0)
     # The order is repeated a few times, and no other order is sent.
@@ -214,17 +214,17 @@
     assert 1 <= len(orders) <= 5
     assert {call.subject for call in orders} == {"/scale model hall-b"}
     site.duties.faults.dry_zones.clear()
-    await wait_until(lambda: count_kinds(site) == (3, 9), "available again")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 9), "available again")
 
 
 @on_duty_site(engines=3, gateways=3)
 async def test_a_new_holder_keeps_the_orders_of_the_former_one(site):
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 9), "settled")
     holder = find_holder(site)
     site.gateways[holder].task.cancel()
     await wait_until(lambda: has_other_holder(site, holder), "another holder")
     await asyncio.sleep(2.0)
-    assert count_kinds(site) == (3, 9)
+    assert count_engines_by_kind(site) == (3, 9)
 
 
 def has_other_holder(site, former):
@@ -237,7 +237,7 @@
 
 @on_duty_site(engines=3)
 async def test_operators_see_engines_need_price_and_usage_of_each_window(site):
-    await wait_until(lambda: count_kinds(site) == (3, 9), "settled")
+    await wait_until(lambda: count_engines_by_kind(site) == (3, 9), "settled")
     await send(site, 2)
     await wait_for_usage(site, {"club": 2})
     await asyncio.sleep(1.0)
@@ -263,5 +263,5 @@
     site.upstreams["n1"] = engine
     site.duties.reclaim("hall-a", 0.1)
     assert "n1" not in site.upstreams
-    await site.duties._bring_up(engine)
+    await site.duties._start_serving(engine)
     assert "n1" not in site.upstreams
--- a/tests/hosted/test_large_fleets.py
+++ b/tests/hosted/test_large_fleets.py
@@ -107,7 +107,7 @@
     async with heartbeats(site):
         await wait_for_all_hosts(site)
         site.store.faults.down = True
-        site.store.wake()
+        site.store.notify_watches()
         await asyncio.sleep(2.0)
         unlisted = site.upstreams["s0"]
         site.unlist_upstream(unlisted)
--- a/tests/hosted/test_requests.py
+++ b/tests/hosted/test_requests.py
@@ -307,6 +307,6 @@
     # Opens connections to all upstreams, so that the first attempt uses a dead one.
     for number in range(8):
         assert (await ask(address_of(site), "/card/a", f"c{number}")).status == 200
-    site.silence_connections()
+    site.blackhole_connections()
     answer = await ask(address_of(site), "/card/a", "after")
     assert answer.status == 200
--- a/tests/hosted/test_restored_duties.py
+++ b/tests/hosted/test_restored_duties.py
@@ -31,7 +31,7 @@
 @on_duty_site(gateways=3)
 async def test_usage_reports_continue_after_a_restore_and_none_is_sent_twice(site, outage_seconds):
     # The copy does not contain the lease.
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     await wait_for_holder(site)
     await send(site, 3)
     await wait_for_usage(site, {"club": 3})
@@ -46,7 +46,7 @@
     site,
 ):
     holder = await wait_for_holder(site)
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     await send(site, 3, holder)
     await wait_for_usage(site, {"club": 3})
     window = next(number for number, counts in site.duties.reports.items() if counts)
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("outage_seconds", [0.0, 0.4])
 @on_duty_site(gateways=3)
 async def test_the_last_holder_takes_the_lease_again_after_a_restore(site, outage_seconds):
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     holder = await wait_for_holder(site)
     epoch = site.store.epoch
     await restore_store(site, copy, outage_seconds)
@@ -85,13 +85,13 @@
 @on_duty_site(gateways=3)
 async def test_usage_reports_continue_after_all_hosts_stop_and_the_store_loses_writes(site):
     await wait_for_holder(site)
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     await send(site, 3)
     await wait_for_usage(site, {"club": 3})
     for running in site.gateways.values():
         running.task.cancel()
     site.store.restore(copy)
-    site.store.write_all_again()
+    site.store.repeat_all_writes()
     for number in (7, 8):
         await site.add_gateway(f"g{number}", number)
     await site.wait_ready("g7", "g8")
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -69,7 +69,7 @@
             senders[name].add(ip)
             receive(data, ip)
 
-        socket.receive(DatagramKind.REPORT, record_sender)
+        socket.set_receiver(DatagramKind.REPORT, record_sender)
     await asyncio.sleep(2.0)
     assert knows_all(site, set(site.gateways))
     assert senders == {name: set() for name in ordinary}
@@ -132,7 +132,7 @@
 async def test_a_host_that_starts_without_the_store_finds_all_hosts_by_three_seeds(site):
     await add_zones(site)
     site.store.faults.down = True
-    site.store.wake()
+    site.store.notify_watches()
     await site.add_gateway("late", 40, "hall-c")
     async with asyncio.timeout(8):
         await wait_until(lambda: knows_all(site, set(site.gateways)), "late host known")
--- a/tests/hosted/test_starts.py
+++ b/tests/hosted/test_starts.py
@@ -19,7 +19,7 @@
 
 
 def find_born(site, instance, name="g0"):
-    start = fleet(site, name).find_start(instance)
+    start = fleet(site, name).find_current_incarnation(instance)
     return start.record.born if start else None
 
 
@@ -83,7 +83,7 @@
 
     def list_caching(name):
         return {i.record.instance for i in fleet(site, name).list_service("model")
-                if i.cache.count_read(CACHED_PROMPT)}  # fmt: skip
+                if i.cache.count_prefilled(CACHED_PROMPT)}  # fmt: skip
 
     for name in site.gateways:
         await wait_until(lambda name=name: list_caching(name), "cached parts known")
@@ -107,7 +107,7 @@
     upstream.born = LATER
     await site.add_upstream(StandInUpstream("s9", "alerts", "hall-a"))
     await wait_until(lambda: fleet(site).knows("s9"), "a later entry")
-    known = fleet(site).find_start("s0")
+    known = fleet(site).find_current_incarnation("s0")
     assert (known.record.born, known.leaving) == (LATER, False)
 
 
@@ -162,7 +162,7 @@
     await site.add_upstream(StandInUpstream("s8", "alerts", "hall-a"))
     for name in site.gateways:
         await wait_until(lambda name=name: fleet(site, name).knows("s8"), "watched")
-    site.store.forget_history()
+    site.store.discard_history()
     site.unlist_upstream(site.upstreams["s0"])
     await site.add_gateway("g2", 2)
     await site.wait_ready("g2")
--- a/tests/hosted/test_store_restores.py
+++ b/tests/hosted/test_store_restores.py
@@ -34,7 +34,7 @@
 
 async def restore_without_writes(site, lost, cut=True, outage_seconds=OUTAGE_SECONDS):
     """Restore the store without its last writes, after hosts have read all of them."""
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     write_others(site, lost)
     site.store.put("servers", "s1", {**site.store.objects["servers", "s1"]["spec"], "seq": lost})
     await wait_for_revision(site)
@@ -81,7 +81,7 @@
 @on_site(gateways=3)
 async def test_changes_under_reused_revisions_are_not_missed(site):
     # The store passes the hosts' revision before any of them calls, so that no watch gets 410.
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     write_others(site, 5)
     await wait_for_revision(site)
     site.store.restore(copy)
@@ -115,7 +115,7 @@
 
 @on_site(gateways=2)
 async def test_a_host_that_starts_after_a_restore_is_ready_with_the_version_of_its_peers(site):
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     version = site.declare()
     others = [item.gateway for item in site.gateways.values()]
     await wait_in_force(site, version)
@@ -130,7 +130,7 @@
 async def test_a_version_is_in_force_although_a_pending_watch_misses_it(site):
     gateway = site.gateways["g0"].gateway
     gateway._configuration._choose_watch_seconds = lambda: 3600.0
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     write_others(site, 5)
     first = site.declare()
     watch = f"GET /v1/objects/config?watch={site.store.revision}&waitMs=3600000"
@@ -143,7 +143,7 @@
 
 @on_site(gateways=2)
 async def test_a_version_under_a_reused_revision_is_in_force(site):
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     first = site.declare()
     await wait_in_force(site, first)
     number = site.store.objects["config", "main"]["metadata"]["revision"]
@@ -157,7 +157,7 @@
 async def test_a_key_that_a_version_under_a_reused_revision_removes_is_refused(site):
     # No watch reports the version: only reads of the entry can confirm it.
     site.workspaces = [{"name": "club", "apiKeys": ["key-1", "key-2"]}]
-    copy = site.store.take_copy()
+    copy = site.store.copy_contents()
     site.declare()
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_in_force(site, site._version)
@@ -174,7 +174,7 @@
 async def build_site_with_early_copy():
     """Start a site and keep a copy of its store from before any host registered."""
     site = await build_site(gateways=0)
-    site.early = site.store.take_copy()
+    site.early = site.store.copy_contents()
     for number in range(3):
         await site.add_gateway(f"g{number}", number)
     await site.wait_ready()
--- a/tests/hosted/test_unaffected_requests.py
+++ b/tests/hosted/test_unaffected_requests.py
@@ -41,7 +41,7 @@
 
 def is_draining(site, upstream):
     """Return whether a host knows that an upstream is draining."""
-    return site.gateways["g0"].gateway._fleet.find_start(upstream.instance).leaving
+    return site.gateways["g0"].gateway._fleet.find_current_incarnation(upstream.instance).leaving
 
 
 @pytest.mark.parametrize(("path", "headers"), [("/card/a", {}), ("/verdict/a", STREAM)])
@@ -65,7 +65,7 @@
     await send_repeatedly(site, path, DEADLY, headers, attempts=6)
     ended.set()
     await asyncio.gather(*callers)
-    await wait_until(lambda: not site.count_away(), "all upstreams back")
+    await wait_until(lambda: not site.count_crashed(), "all upstreams back")
     for name in HOSTS:
         answer = await ask(address_of(site, name), path, f"last-{name}", body=b"popular", **headers)
         assert (answer.status, answer.whole) == (200, True)
--- a/tests/hosted/test_upstream_limits.py
+++ b/tests/hosted/test_upstream_limits.py
@@ -87,7 +87,7 @@
     if not everywhere:
         upstreams = [busiest]
     for upstream in upstreams:
-        upstream.says = [(b"Server-Limit", f"{rate}".encode())]
+        upstream.extra_headers = [(b"Server-Limit", f"{rate}".encode())]
     began = asyncio.get_running_loop().time()
     await asyncio.sleep(LEARN_SECONDS + LOAD_SECONDS)
     return upstreams, began
--- a/tests/hosted/test_workspaces.py
+++ b/tests/hosted/test_workspaces.py
@@ -127,7 +127,7 @@
     address = address_of(site)
     gateway = site.gateways["g0"].gateway
     site.store.faults.down = True
-    site.store.wake()
+    site.store.notify_watches()
     await wait_until(lambda: not gateway.is_ready(), "not ready")
     answer = await ask(address, "/goal/a", "g1", X_Key=FIRST)
     assert (answer.status, read_code(answer)) == (503, Code.KEY_UNCONFIRMED)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -161,17 +161,17 @@
 
     async def stop_store(self):
         self._site.store.faults.down = True
-        self._site.store.wake()
+        self._site.store.notify_watches()
         await asyncio.sleep(self._draw_seconds(2.0))
         self._site.store.faults.down = False
 
     async def restore_store(self):
         """Restore the store from a copy; operator and upstreams repeat writes in random order."""
         store = self._site.store
-        copy = store.take_copy()
+        copy = store.copy_contents()
         await asyncio.sleep(self._draw_seconds(MAX_COPY_AGE_SECONDS))
         store.faults.down = self._rng.random() < 0.7
-        store.wake()
+        store.notify_watches()
         await asyncio.sleep(self._draw_seconds(MAX_OUTAGE_SECONDS) * store.faults.down)
         store.faults.down = False
         store.restore(copy)
@@ -181,7 +181,7 @@
         self._rng.shuffle(written)
         for kind, name in written:
             await asyncio.sleep(self._rng.random() * REWRITE_SECONDS / len(written))
-            store.write_again(kind, name)
+            store.repeat_write(kind, name)
 
     async def drain(self):
         upstream = self._rng.choice(self._site.initial_upstreams)
@@ -251,14 +251,14 @@
     async def announce_limit(self):
         """Announce a rate limit in all responses of an upstream, for longer than hosts learn it."""
         upstream = self._rng.choice(self._site.initial_upstreams)
-        if upstream.says:
+        if upstream.extra_headers:
             return
         rate = self._rng.choice(LIMITS_PER_SECOND)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        upstream.says = [(b"Server-Limit", f"{rate}".encode())]
+        upstream.extra_headers = [(b"Server-Limit", f"{rate}".encode())]
         await asyncio.sleep(promises.LIMIT_KNOWN_SECONDS + self._draw_seconds(4.0))
-        upstream.says = []
+        upstream.extra_headers = []
         self.limits.append(promises.NamedLimit(upstream, rate, began, loop.time()))
 
     async def request_cool_down(self):
@@ -270,11 +270,11 @@
     async def announce_leaving(self):
         """Announce in an upstream's responses only that it is draining, then restart it."""
         upstream = self._rng.choice(self._site.initial_upstreams)
-        if upstream.says:
+        if upstream.extra_headers:
             return
-        upstream.says = [(b"Server-Leaving", b"1")]
+        upstream.extra_headers = [(b"Server-Leaving", b"1")]
         await asyncio.sleep(self._draw_seconds(2.5))
-        upstream.says = []
+        upstream.extra_headers = []
         self._site.restart_upstream(upstream, next(self._start_times))
 
     async def fail_requests(self):
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -99,7 +99,7 @@
 
 
 def check_duties(site):
-    yield from site.duties.broken
+    yield from site.duties.violations
 
 
 def check_orders(site):
--- a/tests/soak/rounds.py
+++ b/tests/soak/rounds.py
@@ -80,7 +80,7 @@
     """Return a finding for each host and kind of request that is not served again."""
     for upstream in site.initial_upstreams:
         upstream.script.steps.clear()
-        upstream.says, upstream.rest = [], b""
+        upstream.extra_headers, upstream.rest = [], b""
         site.list_upstream(upstream)
     findings = []
     for host in site.hosts.values():
