--- a/src/swifttrestle/internal/coordination/quarantine_store.py
+++ b/src/swifttrestle/internal/coordination/quarantine_store.py
@@ -30,7 +30,7 @@
 # Maximum number of requests in the object, which keeps those with the latest crashes.
 MAX_STORED_REQUESTS = 512
 # Log event of a failed read or write.
-NOT_STORED_EVENT = "quarantine not written"
+NOT_STORED_EVENT = "quarantine not kept"
 # Seconds for which changes are collected before a write.
 COLLECT_SECONDS = 0.05
 
--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -36,7 +36,7 @@
         for item in snapshot.items:
             _add_peer(item, peers, skipped)
 
-    await retry_until_done(write_and_read, "own address not registered or peers not read", rng)
+    await retry_until_done(write_and_read, "peers not read", rng)
 
 
 async def restore_registration(
@@ -44,7 +44,7 @@
 ) -> None:
     """Write this host's address again if a restored store lacks it; `hosts` is the fleet's size."""
     await asyncio.sleep(rng.random() * hosts * RESTORE_SPREAD_SECONDS_PER_HOST)
-    await retry_until_done(lambda: _write_record(store, me), "own address not registered", rng)
+    await retry_until_done(lambda: _write_record(store, me), "own address not kept", rng)
 
 
 async def _write_record(store: ObjectStore, me: Member) -> None:
