--- a/tests/common/weakened.py
+++ b/tests/common/weakened.py
@@ -74,7 +74,7 @@
     """Sends requests to draining upstreams."""
 
     def usable(self, name, state, wanted, now):
-        return wanted.service.type == "plain" or self._holds_what_is_wanted(state, wanted)
+        return wanted.service.type == "plain" or self._holds_model(state, wanted)
 
     UpstreamTable._is_usable = usable
     UpstreamTable.begin = _begin_always
