--- a/src/swifttrestle/internal/policy/capacity.py
+++ b/src/swifttrestle/internal/policy/capacity.py
@@ -3,8 +3,8 @@
 Load can rise faster than an upstream starts, so the plan covers the highest need of the last
 minute. The platform may reclaim all reclaimable (spot) upstreams of a zone at a few seconds'
 notice and offer none there for a while, so the plan also covers the loss of the reclaimable
-upstreams of the zone that has most of them. Nothing can be ordered while the store or the
-platform is unavailable.
+upstreams of the zone that has most of them. The planned upstreams must suffice while the store or
+the platform is unavailable, since none can be ordered then.
 """
 
 import math
@@ -34,7 +34,8 @@
 class ZoneUpstreams:
     """The upstreams that serve in a zone, neither starting nor draining.
 
-    `reclaimable_unavailable` is set while the platform has no reclaimable upstreams there.
+    `lasting` is the number of non-reclaimable ones. `reclaimable_unavailable` is set while the
+    platform has no reclaimable upstreams there.
     `limit_includes_existing` is set where the platform counts existing upstreams of the other kind,
     not the planned number, towards the maximum.
     """
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ZonePlan:
-    """The target number of upstreams of each kind in a zone."""
+    """The target number of upstreams of each kind in a zone; `lasting` ones are non-reclaimable."""
 
     zone: str
     lasting: int
--- a/src/swifttrestle/internal/policy/ejection.py
+++ b/src/swifttrestle/internal/policy/ejection.py
@@ -12,16 +12,22 @@
 # a single timeout may be a lost packet.
 REFUSED_CONNECTION_WEIGHT = FAILURES_TO_EJECT
 CONNECT_TIMEOUT_WEIGHT = 2
-# After an ejection a single request probes the upstream; seconds until another one may.
+# After an ejection a single request probes the upstream. Seconds until another one may.
 PROBE_INTERVAL_SECONDS = 0.5
 FIRST_EJECTION_SECONDS = 2.0
 MAX_EJECTION_SECONDS = 6.0
-EJECTION_MEMORY_SECONDS = 60.0
+# Seconds after an ejection from which a success resets the number of ejections, which determines
+# the duration of the next one.
+EJECTIONS_RESET_SECONDS = 60.0
 
 
 @dataclass
 class Health:
-    """One upstream's consecutive failures and ejections; times are monotonic seconds."""
+    """One upstream's consecutive failures and ejections; times are monotonic seconds.
+
+    `returned_at` is the end of its last ejection. After that, probes change `ejected_until`, and
+    `probing` stays set until one succeeds.
+    """
 
     failures: int = 0
     ejections: int = 0
@@ -52,7 +58,7 @@
         if health.is_probing(now):
             health.probing = False
             health.ejected_until = now
-        if now - health.ejected_until > EJECTION_MEMORY_SECONDS:
+        if now - health.ejected_until > EJECTIONS_RESET_SECONDS:
             health.ejections = 0
 
     def note_use(self, name: str, now: float) -> None:
--- a/src/swifttrestle/internal/policy/fetching.py
+++ b/src/swifttrestle/internal/policy/fetching.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Fetch:
-    """A copy of the KV cache of `tokens` from a source; `seconds` is its predicted duration."""
+    """A copy of `tokens` tokens of KV cache from a source; `seconds` is its predicted duration."""
 
     source: Instance
     tokens: int
--- a/src/swifttrestle/internal/policy/hash_ring.py
+++ b/src/swifttrestle/internal/policy/hash_ring.py
@@ -1,6 +1,6 @@
-"""Consistent hashing of requests to the hosts that collect reports of crashes during them.
+"""Assigns requests by consistent hashing to hosts that collect reports of crashes during them.
 
-Without such owners, each host with a request open at a crashed upstream would have to notify all
+Without these owners, each host with a request open at a crashed upstream would have to notify all
 other hosts.
 """
 
--- a/src/swifttrestle/internal/policy/home_zones.py
+++ b/src/swifttrestle/internal/policy/home_zones.py
@@ -19,7 +19,8 @@
 # zone: booking across zones adds latency, and its bytes are billed.
 MIN_SHARED_PREFILL_SECONDS = 0.005
 # Zones whose schedulers are asked before a host books locally: the home zone, and the next one by
-# hash where the home zone's scheduler does not answer. Each adds a timeout to the request.
+# hash where the home zone's scheduler does not answer. Each missing answer delays the request by a
+# timeout.
 MAX_HOME_ZONES = 2
 # Number of values of a 64-bit rank.
 _RANK_COUNT = 2**64
--- a/src/swifttrestle/internal/policy/quarantine.py
+++ b/src/swifttrestle/internal/policy/quarantine.py
@@ -89,7 +89,10 @@
     """Crash records of requests by fingerprint; times are the loop's seconds."""
 
     def __init__(self, jitter: float) -> None:
-        """Delay releases by a share of the jitter, from 0 to 1, that differs between hosts."""
+        """Delay releases by `jitter`, from 0 to 1, times RELEASE_JITTER_SHARE of the quarantine.
+
+        `jitter` differs between hosts.
+        """
         self._release_factor = 1 + RELEASE_JITTER_SHARE * jitter
         self._histories: dict[RequestFingerprint, _History] = {}
         self._head_counts: Counter[bytes] = Counter()
@@ -146,12 +149,12 @@
         return changed
 
     def find_answer(self, record: CrashRecord) -> float | None:
-        """Return when a request got an answer, if that was after all crashes of a record."""
+        """Return when a request got its last answer, if that clears all crashes of a record."""
         at = self._answered_at.get(record.name)
         return at if at is not None and at + REPORT_DELAY_SECONDS >= record.last_crash_at else None
 
     def find_wait(self, fingerprint: RequestFingerprint, now: float) -> float:
-        """Return the seconds until this host may send a request to an upstream; 0 for now."""
+        """Return the seconds until this host may send a request; 0 if it may now."""
         history = self._histories.get(fingerprint)
         period = None if history is None else find_period(history.crashes)
         if period is None:
--- a/src/swifttrestle/internal/policy/retry_window.py
+++ b/src/swifttrestle/internal/policy/retry_window.py
@@ -1,7 +1,8 @@
 """A retry budget over an exact sliding window, divided among the live hosts.
 
-For all hosts together, the repeats within any window stay below a share of the requests plus a
-constant. Each host may use that share of its own requests and an equal part of the constant.
+For all hosts together, the repeats (attempts after a request's first one) within any window stay
+below a share of the requests plus a constant. Each host may use that share of its own requests and
+an equal part of the constant.
 """
 
 from collections import deque
--- a/src/swifttrestle/internal/policy/role_split.py
+++ b/src/swifttrestle/internal/policy/role_split.py
@@ -20,8 +20,9 @@
 MIN_ENGINES_PER_GROUP = 4
 # Share of an engine's slots, or of its prefill rate, that plans use.
 PLANNED_SHARE = 0.85
-# A split is changed only while its busier role is loaded above BUSY_SHARE, and only to one that
-# lowers that load below this factor of it: a change makes an engine unavailable for seconds.
+# A split is changed only while the load of its busier role exceeds BUSY_SHARE, and only if that
+# lowers the load below IMPROVEMENT_FACTOR times its value: a change makes an engine unavailable for
+# seconds.
 BUSY_SHARE = 0.95
 IMPROVEMENT_FACTOR = 0.85
 
--- a/src/swifttrestle/internal/policy/routing.py
+++ b/src/swifttrestle/internal/policy/routing.py
@@ -94,7 +94,7 @@
     """The earliest predicted finish among a random sample of candidates.
 
     The sample also includes the candidate that caches most of the prompt's prefix. Sampling keeps
-    entries with the same outdated reports from all choosing the same idle engine.
+    entry processes with the same outdated reports from all choosing the same idle engine.
     """
 
     def pick(
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -7,8 +7,8 @@
 from swifttrestle.internal.state.fleet import Instance
 from swifttrestle.internal.state.members import Member
 
-# Maximum number of hosts at which each books engines locally, since they exchange reports of open
-# work often enough.
+# Maximum number of hosts in a fleet that books without schedulers: so few hosts report open work to
+# each other often enough for each to book engines locally.
 SMALL_FLEET_HOSTS = 16
 # Zone aggregators (representatives): hosts that watch the discovery list and receive heartbeats for
 # their zone. The loss of one is tolerated.
--- a/src/swifttrestle/internal/policy/waiting.py
+++ b/src/swifttrestle/internal/policy/waiting.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.state.declared import Route
 
 # Callers abandon a stream after the longest of these times without an event: a minimum in seconds,
-# and multiples of the latency and gap objectives (callers' protocol).
+# and multiples of the objectives for latency and for gaps between events (callers' protocol).
 MIN_STREAM_TIMEOUT_SECONDS = 2.0
 STREAM_TIMEOUT_OBJECTIVES = 4.0
 STREAM_TIMEOUT_GAP_OBJECTIVES = 8.0
