--- a/src/swifttrestle/internal/forward/attempt.py
+++ b/src/swifttrestle/internal/forward/attempt.py
@@ -24,8 +24,8 @@
     strip_answer_headers,
 )
 
-# Answers up to this size are buffered before the first byte goes to the caller, so that a broken
-# one can be retried or replaced by an error.
+# Answers of a known length up to this size are buffered before the first byte goes to the caller,
+# so that a broken one can be retried or replaced by an error.
 MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
 # Limit for buffering an answer of unknown length.
 MAX_BUFFERED_UNSIZED_ANSWER_BYTES = 64 * MAX_BUFFERED_ANSWER_BYTES
@@ -71,20 +71,26 @@
         async with asyncio.timeout(min(plan.head_timeout, max(0.0, ctx.seconds_left))):
             head, body = await connection.exchange(build_request(ctx, plan.forwarding))
     except TimeoutError:
-        raise UpstreamSilentError("no answer head before the timeout") from None
+        raise UpstreamSilentError(
+            f"{plan.instance.name} sent no answer head before the timeout"
+        ) from None
     metadata = read_response_metadata(head.status, head.headers, plan.instance.record.instance)
     # An engine may refuse a request before it has read the id.
     if metadata.request_id != ctx.request_metadata.request_id and not (
         metadata.not_run and not metadata.request_id
     ):
-        raise CrossedAnswerError("the answer carries the id of another request", sent=True)
+        raise CrossedAnswerError(
+            f"{plan.instance.name} answered with the id of another request", sent=True
+        )
     if metadata.not_run:
         await body.read_whole(MAX_REFUSAL_BYTES)
         if metadata.replaced:
             raise UpstreamLeavingError(f"{plan.instance.name} was replaced at its address")
         raise UpstreamBusyError(f"{plan.instance.name} refused with {head.status}")
     if head.status < 300 and not metadata.signed:
-        raise UpstreamBrokenError(f"the answer with {head.status} has no signature", sent=True)
+        raise UpstreamBrokenError(
+            f"the answer {head.status} of {plan.instance.name} has no signature", sent=True
+        )
     return head, body
 
 
@@ -126,7 +132,7 @@
             await connection.finish(timeout_seconds=0.0)
             raise
         if head.status >= FIRST_ERROR_STATUS and plan.retry_failure:
-            raise FailedByUpstreamError(f"the upstream answered {head.status}", sent=True)
+            raise FailedByUpstreamError(f"status {head.status} from {instance.name}", sent=True)
         if relay is not None and head.status < 300:
             await relay.relay(ctx, head, body)
         elif head.framing is Framing.LENGTH and head.length > MAX_BUFFERED_ANSWER_BYTES:
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -104,7 +104,7 @@
         )
 
     def _shorten_prefill_wait(self, request: BookingRequest) -> BookingRequest:
-        """Return the request with the shorter maximum wait for prefill of late requests."""
+        """Return the request with the shorter wait for prefill that late requests are allowed."""
         longest_wait = request.max_prefill_wait * LATE_PREFILL_WAIT_SHARE
         return replace(request, max_prefill_wait=longest_wait, latest_read=math.inf)
 
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -19,7 +19,7 @@
 OWN_SOURCE = "own"
 # Share by which a rate limit must change to be announced to other hosts.
 MIN_ANNOUNCED_CHANGE_SHARE = 0.1
-# Cool-down where the requested one is malformed, and maximum cool-down.
+# Cool-down where the upstream requests one of a malformed duration, and maximum cool-down.
 DEFAULT_COOL_DOWN_SECONDS = 1.0
 MAX_COOL_DOWN_SECONDS = 3600.0
 # Seconds after which the condition of an unlisted instance is dropped, and between checks for that.
@@ -56,7 +56,10 @@
     def find_wait_seconds(
         self, instance: Instance, now: float, urgent: bool, permitted: bool = False
     ) -> float:
-        """Return the seconds until an upstream accepts a request from this host; 0 for now."""
+        """Return the seconds until an upstream accepts a request from this host; 0 if it does now.
+
+        `permitted` is set for a request that has a permit under the upstream's rate limit.
+        """
         condition = self._conditions.get(instance.name)
         return condition.find_wait_seconds(now, urgent, permitted) if condition else 0.0
 
@@ -198,7 +201,7 @@
         cool_down = (
             DEFAULT_COOL_DOWN_SECONDS if seconds is None else min(seconds, MAX_COOL_DOWN_SECONDS)
         )
-        # Requests sent before then would be refused and use up the retry budget.
+        # Requests sent during the cool-down would be refused and use up the retry budget.
         condition.start_cool_down(now + cool_down)
         asyncio.get_running_loop().call_at(condition.cool_down_until, self.on_room)
 
@@ -213,7 +216,7 @@
 def _lifts_limit(rate_limit: RateLimit, head: ResponseHead, sent_at: float) -> bool:
     """Return whether an answer without a rate limit lifts the known one.
 
-    Ignores answers to requests from before the limit was announced, and answers to internal calls,
+    Ignores answers to requests sent before the limit became known, and answers to internal calls,
     which may not state it.
     """
     return rate_limit.rate is not None and sent_at > rate_limit.at and has_request_id(head.headers)
--- a/src/swifttrestle/internal/forward/crash_detection.py
+++ b/src/swifttrestle/internal/forward/crash_detection.py
@@ -119,7 +119,8 @@
         try:
             await self._pool.probe(instance.name, instance.record.address)
         except UpstreamUnreachedError as error:
-            # A timeout alone may be a network fault; it is a crash if the list agrees.
+            # A timeout alone may be a network fault: it counts as a crash only if the discovery
+            # list lacks the upstream as well.
             if (error.refused or instance.gone) and not instance.record.leaving:
                 self._report_crash(instance, "its address", include_timeouts=instance.gone)
             return
@@ -137,7 +138,7 @@
                 for item in pending
             ]
         if instance.gone:
-            # No more requests are sent to this instance, whatever listens there now.
+            # No more requests are sent to this instance, even if its address accepts connections.
             self._pool.forget(instance.name)
 
     def _report_crash(
--- a/src/swifttrestle/internal/forward/crash_guard.py
+++ b/src/swifttrestle/internal/forward/crash_guard.py
@@ -91,7 +91,7 @@
         if not ctx.is_trial:
             seconds = await self.request_trial(fingerprint)
             if seconds > 0:
-                # By then the host that tries it has notified all others of the result.
+                # After TRIAL_RETRY_SECONDS, all hosts know the result of the current trial.
                 return min(seconds, TRIAL_RETRY_SECONDS)
             ctx.is_trial = True
         return 0.0
@@ -207,7 +207,6 @@
 
 
 def _never(_: Instance, __: Collection[str]) -> bool:
-    """Return False."""
     return False
 
 
--- a/src/swifttrestle/internal/forward/engine_finder.py
+++ b/src/swifttrestle/internal/forward/engine_finder.py
@@ -77,12 +77,12 @@
         group = find_scheduling_group(engines, request.zone)
         own_group = [item for item in engines if group in ("", item.record.zone)]
         other_zones = [item for item in engines if group not in ("", item.record.zone)]
-        for choice, limit in (
+        for candidates, limit in (
             (own_group, longest_wait),
             (other_zones, longest_wait * OTHER_ZONE_WAIT_SHARE),
         ):
             reader = pick_prefill_engine(
-                choice,
+                candidates,
                 request.tokens,
                 request.affinity,
                 request.excluded,
@@ -101,11 +101,9 @@
         return is_short_prompt(request.tokens, self._state.fleet.list_service(request.service))
 
     def _pick_decode_engine(
-        self, request: BookingRequest, engines: list[Instance], own_group: str
+        self, request: BookingRequest, engines: list[Instance], near: str
     ) -> Instance | None:
-        return pick_decode_engine(
-            engines, own_group, request.excluded, _now(), urgent=request.urgent
-        )
+        return pick_decode_engine(engines, near, request.excluded, _now(), urgent=request.urgent)
 
     def _book(
         self, reader: Instance, decoder: Instance, request: BookingRequest, plan: FetchPlan
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -102,7 +102,7 @@
     async def attempt(
         self, ctx: Context, instance: Instance, *, is_final_answer: bool = True
     ) -> AsyncIterator[None]:
-        """Surround each request that is sent to an upstream, prefill included.
+        """Guard one request that is sent to an upstream, prefill included, and count it.
 
         Raises RefusedError for a quarantined request, and UpstreamHeldError where the upstream
         accepts no requests at the moment. `is_final_answer` is whether an attempt that ends
@@ -145,7 +145,7 @@
     def find_wait_seconds(
         self, service: str, now: float, roles: Collection[Role], urgent: bool
     ) -> float:
-        """Return the seconds until instances of all these roles accept requests; 0 for now."""
+        """Return the seconds until instances of all these roles accept requests; 0 if they do."""
         listed = self.fleet.list_service(service)
         return max(
             self.conditions.find_shortest_wait(
--- a/src/swifttrestle/internal/forward/handler.py
+++ b/src/swifttrestle/internal/forward/handler.py
@@ -34,7 +34,7 @@
 # Retry-After, in seconds, of a host without a configuration, and of a stopping one.
 UNCONFIGURED_RETRY_SECONDS = 0.5
 STOPPING_RETRY_SECONDS = 0.05
-# Maximum age of the discovery list in the log, also shown if it was never confirmed.
+# Maximum age of the discovery list in the request log; also logged if it was never confirmed.
 MAX_LOGGED_AGE_SECONDS = 9999.0
 # Seconds before the deadline at which a request is cancelled, so that the error arrives in time.
 ANSWER_MARGIN_SECONDS = 0.01
--- a/src/swifttrestle/internal/forward/plain.py
+++ b/src/swifttrestle/internal/forward/plain.py
@@ -41,7 +41,7 @@
         loop = asyncio.get_running_loop()
         budget = self._state.budgets.find(ctx.service.name)
         budget.note_request(loop.time())
-        last_reason = "the service has no available instance"
+        last_reason = f"service {ctx.service.name} has no available instance"
         budget_charged = False
         while True:
             instance = self._choose(ctx, loop.time())
--- a/src/swifttrestle/internal/forward/prefill.py
+++ b/src/swifttrestle/internal/forward/prefill.py
@@ -162,7 +162,9 @@
                     MAX_ANSWER_BYTES,
                 )
         except TimeoutError:
-            raise UpstreamSilentError(f"no prefill within {timeout_seconds:.2f} s") from None
+            raise UpstreamSilentError(
+                f"no prefill within {timeout_seconds:.2f} s by {reader.name}"
+            ) from None
         metadata = read_response_metadata(head.status, head.headers, reader.record.instance)
         if metadata.not_run:
             if metadata.replaced:
--- a/src/swifttrestle/internal/forward/rate_limiter.py
+++ b/src/swifttrestle/internal/forward/rate_limiter.py
@@ -178,19 +178,19 @@
         self,
         key: str,
         zone: str,
-        count_locally: Callable[[], float],
+        decide_locally: Callable[[], float],
         make_message: Callable[[int], PermitRequest | TrialRequest],
     ) -> float | None:
-        """Return the reply of the first owner of a limit or trial that answers; None if none does.
+        """Return the reply of the first owner of a limit or trial that replies; None if none does.
 
-        Calls `count_locally` if the owner is this host.
+        Calls `decide_locally` if the owner is this host.
         """
         for owner in self._find_owners(key, zone):
             if owner.host == self._host:
-                return count_locally()
-            answer = await self._ask_with_retries(owner, make_message)
-            if answer is not None:
-                return answer.seconds
+                return decide_locally()
+            reply = await self._ask_with_retries(owner, make_message)
+            if reply is not None:
+                return reply.seconds
         return None
 
     def _find_owners(self, key: str, zone: str) -> list[Member]:
@@ -219,9 +219,9 @@
         if self._suspended_until.get(owner.host, 0.0) > _now():
             return None
         for _ in range(ASK_ATTEMPTS):
-            answer = await self._ask(owner, make_message)
-            if answer is not None:
-                return answer
+            reply = await self._ask(owner, make_message)
+            if reply is not None:
+                return reply
         self._suspended_until[owner.host] = _now() + OWNER_SUSPEND_SECONDS
         log_event("keeper of a limit silent", keeper=owner.host)
         return None
@@ -301,7 +301,7 @@
     # Called by the socket.
 
     def _receive(self, data: bytes, ip: str) -> None:
-        """Handle a peer's message; raise FrameError."""
+        """Handle a peer's message; raise FrameError for a malformed one."""
         message = unpack_message(data, _now())
         if isinstance(message, TrialRequest):
             seconds = self._allow_trial(message.start)
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -47,8 +47,8 @@
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
 
-# Timeout for a scheduler's reply, with engines or that the request waits: some round trips between
-# availability zones, plus queueing on the hosts' links.
+# Timeout for a scheduler's first reply, which grants engines or states that the request waits: some
+# round trips between availability zones, plus queueing on the hosts' links.
 REPLY_TIMEOUT_SECONDS = 0.05
 # Consecutive missing replies after which a scheduler is not asked for some seconds.
 MISSED_REPLIES_TO_SUSPEND = 2
@@ -116,25 +116,25 @@
     async def book(self, request: BookingRequest) -> Booking | NoCapacity:
         """Book through a scheduler, or locally if none of them replies."""
         for zone, scheduler in self._choose_schedulers(request):
-            placed = replace(request, zone=zone)
+            zone_request = replace(request, zone=zone)
             if scheduler.host == self._host:
-                return await self._local.book(placed)
+                return await self._local.book(zone_request)
             asked_at = _now()
-            found = await self._ask(scheduler, placed)
+            found = await self._ask(scheduler, zone_request)
             if found is not None:
                 return found
             request = _reduce_times(request, _now() - asked_at)
         return await self._local.book(request)
 
     async def _ask(self, scheduler: Member, request: BookingRequest) -> Booking | NoCapacity | None:
-        """Return the scheduler's reply; None if it did not reply or its engines cannot be used."""
+        """Return what the scheduler replied; None without a reply or with unusable engines."""
         number = next(self._numbers)
-        answers: asyncio.Queue[Message] = asyncio.Queue()
-        self._pending[number] = answers
+        replies: asyncio.Queue[Message] = asyncio.Queue()
+        self._pending[number] = replies
         found: Booking | NoCapacity | None = None
         try:
             self._send(scheduler.ip, BookingQuery(number, self._exclude_unusable(request)))
-            found = await self._await_reply(scheduler, answers, request)
+            found = await self._await_reply(scheduler, replies, request)
             self._missed_replies.pop(scheduler.host, None)
         except TimeoutError:
             self._record_missed_reply(scheduler)
@@ -165,20 +165,20 @@
         return replace(request, excluded=request.excluded | names) if names else request
 
     async def _await_reply(
-        self, scheduler: Member, answers: "asyncio.Queue[Message]", request: BookingRequest
+        self, scheduler: Member, replies: "asyncio.Queue[Message]", request: BookingRequest
     ) -> Booking | NoCapacity | None:
         """Return the scheduler's reply; None if it names engines that this host cannot use."""
         timeout_seconds = REPLY_TIMEOUT_SECONDS
         while True:
             async with asyncio.timeout(timeout_seconds):
-                answer = await answers.get()
-            match answer:
+                reply = await replies.get()
+            match reply:
                 case Wait():
                     timeout_seconds = max(request.longest_wait, request.max_wait) + GRACE_SECONDS
                 case Refuse(_, waiting, next_free_seconds):
                     return NoCapacity(waiting, next_free_seconds)
                 case Grant():
-                    return self._read_grant(scheduler, answer, request)
+                    return self._read_grant(scheduler, reply, request)
 
     def _read_grant(
         self, scheduler: Member, grant: Grant, request: BookingRequest
@@ -295,9 +295,9 @@
             case End():
                 self._scheduler.end(host, message)
             case _:
-                waiting = self._pending.get(message.number)
-                if waiting is not None:
-                    waiting.put_nowait(message)
+                replies = self._pending.get(message.number)
+                if replies is not None:
+                    replies.put_nowait(message)
                 elif isinstance(message, Grant):
                     self._cancel(ip, message.number)
 
