--- a/tests/cover/test_home_zones.py
+++ b/tests/cover/test_home_zones.py
@@ -174,9 +174,11 @@
             booking = await host.book("part")
             assert isinstance(booking, Booking)
             assert booking.reader.record.zone == booking.decoder.record.zone == home
-            own = host.member == scheduler
+            is_scheduler = host.member == scheduler
             assert (
-                (booking.reference is None) if own else (booking.reference.host == scheduler.host)
+                (booking.reference is None)
+                if is_scheduler
+                else (booking.reference.host == scheduler.host)
             )
 
     run_hosts(act, monkeypatch)
@@ -186,11 +188,11 @@
     async def act(network, members, hosts):
         first = await hosts[0].book("part")
         assert first.tokens == 55_000
-        unread = []
+        prefilled_tokens = []
         for host in hosts[1:]:
             booking = await host.book("part")
-            unread.append(booking.tokens)
-        assert max(unread) <= 5_000
+            prefilled_tokens.append(booking.tokens)
+        assert max(prefilled_tokens) <= 5_000
 
     run_hosts(act, monkeypatch)
 
@@ -247,7 +249,7 @@
 
 
 @pytest.mark.parametrize(
-    ("shape", "seconds", "story", "max_share"),
+    ("shape", "seconds", "scenario", "max_share"),
     [
         (SMALL, 30.0, FailureScenario("calm"), 0.15),
         (SMALL, 30.0, FailureScenario("a popular part", popular=0.2), 0.15),
@@ -257,9 +259,9 @@
     ids=lambda value: getattr(value, "name", None),
 )
 def test_fewer_shared_tokens_are_prefilled_again_than_with_a_division_by_callers_zone(
-    shape, seconds, story, max_share
+    shape, seconds, scenario, max_share
 ):
-    by_caller = play(shape, story, ByCaller(), seconds=seconds)
-    by_part = play(shape, story, ByPart(), seconds=seconds)
+    by_caller = play(shape, scenario, ByCaller(), seconds=seconds)
+    by_part = play(shape, scenario, ByPart(), seconds=seconds)
     assert by_part.reread_share <= max_share < by_caller.reread_share
     assert by_part.in_time_share >= by_caller.in_time_share - 0.02
--- a/tests/cover/test_policies.py
+++ b/tests/cover/test_policies.py
@@ -1,4 +1,4 @@
-"""The policies: admission, routing, retries, ejection, configuration acceptance, closings."""
+"""Admission, routing, retries, ejection, configuration acceptance and closings of engines."""
 
 import random
 
@@ -73,7 +73,7 @@
     assert LeastPredicted().pick([old, new], RequestEstimate(4000, 1), random.Random(1)) is new
 
 
-def test_entries_with_the_same_old_report_do_not_all_choose_the_same_engine():
+def test_entry_processes_with_the_same_old_report_do_not_all_choose_the_same_engine():
     idle = [make_candidate(f"c{n}", inflight=n / 10, reported_inflight=n / 10) for n in range(10)]
     chosen = {
         LeastPredicted().pick(idle, RequestEstimate(10, 10), random.Random(n)).name
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -69,9 +69,9 @@
 def test_parts_are_dropped_if_their_prefill_failed():
     cache = PromptCache()
     cache.note([SYSTEM], 100_000)
-    unread = cache.list_uncached(PROMPT)
+    uncached = cache.list_uncached(PROMPT)
     cache.note(PROMPT, 100_000)
-    cache.forget(unread)
+    cache.forget(uncached)
     assert cache.count(PROMPT) == 2000
 
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -80,9 +80,9 @@
     quarantine.note(make_name(), reversed(crashes), NOW + 10)
     period = find_period(crashes)
     assert (period.seconds if period else 0) == seconds
-    began = period.started_at if period else NOW
-    assert quarantine.find_wait(make_name(), began) == pytest.approx(seconds)
-    assert quarantine.find_wait(make_name(), began + seconds) == 0
+    started_at = period.started_at if period else NOW
+    assert quarantine.find_wait(make_name(), started_at) == pytest.approx(seconds)
+    assert quarantine.find_wait(make_name(), started_at + seconds) == 0
     assert len(quarantine.list_quarantined()) == (len(times) >= CRASHES_TO_QUARANTINE)
 
 
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize(
-    "name",
+    "fingerprint",
     [
         fingerprint_of(workspace="club"),
         fingerprint_of(chunks=(b"bodY",)),
@@ -200,8 +200,8 @@
     ],
     ids=["workspace", "body", "no body", "method", "path", "host"],
 )
-def test_different_requests_have_different_fingerprints(name):
-    assert name != fingerprint_of()
+def test_different_requests_have_different_fingerprints(fingerprint):
+    assert fingerprint != fingerprint_of()
 
 
 def test_a_request_has_no_fingerprint_until_its_body_is_complete():
@@ -249,7 +249,7 @@
         for number in range(50)
     ]  # fmt: skip
     parts = list(split_records(records))
-    assert [case for part in parts for case in part.records] == records
+    assert [record for part in parts for record in part.records] == records
     assert max(len(pack_crash_update(part, NOW)) for part in parts) <= MAX_DATAGRAM_BYTES
 
 
@@ -297,9 +297,9 @@
     members = make_members(hosts)
     shuffled = random.Random(1).sample(members, len(members))
     for number in range(50):
-        name = fingerprint_of(chunks=(str(number).encode(),))
-        owners = HashRing(members).find(name)
-        assert owners == HashRing(shuffled).find(name)
+        fingerprint = fingerprint_of(chunks=(str(number).encode(),))
+        owners = HashRing(members).find(fingerprint)
+        assert owners == HashRing(shuffled).find(fingerprint)
         assert len(set(owners)) == min(OWNERS_PER_REQUEST, hosts)
 
 
@@ -309,9 +309,9 @@
 
 def test_the_second_owner_replaces_a_removed_first_one():
     members = make_members(195)
-    name = fingerprint_of()
-    first, second = HashRing(members).find(name)
-    assert HashRing([item for item in members if item != first]).find(name)[0] == second
+    fingerprint = fingerprint_of()
+    first, second = HashRing(members).find(fingerprint)
+    assert HashRing([item for item in members if item != first]).find(fingerprint)[0] == second
 
 
 def test_a_request_is_quarantined_after_enough_crashes():
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -33,7 +33,7 @@
     ("/verdict/a", DEADLY_PROMPT, {"X_Token_Usage": LONG, "X_Model": "m"}),
     ("/chat/a", DEADLY, {"X_Token_Usage": SHORT, "X_Model": "m"}),
 ]
-NAMES = ["repeatable", "not-repeatable", "stream", "after-its-reading", "in-its-reading", "chat"]
+NAMES = ["repeatable", "not-repeatable", "stream", "after-its-prefill", "in-its-prefill", "chat"]
 NUMBERS = itertools.count()
 
 
--- a/tests/hosted/test_unaffected_requests.py
+++ b/tests/hosted/test_unaffected_requests.py
@@ -147,9 +147,9 @@
     asked = asyncio.ensure_future(ask(address_of(site, "g2"), "/card/a", "slow", body=b"same"))
     await wait_until(lambda: count_runs(site, "slow"), "run")
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
-    name = fingerprint_request(head, "", Body.from_bytes(b"same"))
+    fingerprint = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
-    record = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
+    record = CrashRecord(fingerprint, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
     for host in HOSTS:
         find_guard(site, host).merge_crash_records([record], "test")
     refused = await ask(address_of(site), "/card/a", "early", body=b"same")
@@ -167,9 +167,9 @@
     # Only the body distinguishes it from the quarantined request.
     await report_starts(site)
     head = RequestHead(b"POST", b"/card/a", ((b"Host", b"site.example"),), Framing.LENGTH, 4)
-    name = fingerprint_request(head, "", Body.from_bytes(b"same"))
+    fingerprint = fingerprint_request(head, "", Body.from_bytes(b"same"))
     now = asyncio.get_running_loop().time()
-    record = CrashRecord(name, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
+    record = CrashRecord(fingerprint, (Crash("i-1", now - 2), Crash("i-2", now - 1)))
     find_guard(site, "g0").merge_crash_records([record], "test")
     for last, status in ((b"e", 503), (b"x", 200)):
         caller = await RawCaller.connect(address_of(site))
@@ -182,7 +182,7 @@
         caller.close()
 
 
-async def lift(site, query, method="POST"):
+async def request_lift(site, query, method="POST"):
     address = site.gateways["g0"].metrics_address
     return await ask(address, f"/debug/quarantine/lift{query}", "lift", method=method)
 
@@ -192,11 +192,11 @@
     gateways = [item.gateway for item in site.gateways.values()]
     await wait_until(lambda: all(len(item.live_hosts()) == 3 for item in gateways), "all hosts")
     now = asyncio.get_running_loop().time()
-    name = RequestFingerprint(bytes(8), bytes(range(8)))
+    fingerprint = RequestFingerprint(bytes(8), bytes(range(8)))
     for number in range(2):
-        find_guard(site, "g1").report_crash([name], Crash(f"i-{number}", now))
+        find_guard(site, "g1").report_crash([fingerprint], Crash(f"i-{number}", now))
     await wait_until(lambda: all(count_quarantined(site)), "known")
-    assert (await lift(site, f"?name={name}")).status == 200
+    assert (await request_lift(site, f"?name={fingerprint}")).status == 200
     await wait_until(lambda: not any(count_quarantined(site)), "lifted")
 
 
@@ -213,4 +213,4 @@
 )
 @on_site()
 async def test_an_invalid_request_to_lift_a_quarantine_is_rejected(site, query, method, status):
-    assert (await lift(site, query, method)).status == status
+    assert (await request_lift(site, query, method)).status == status
