--- a/src/swifttrestle/platform/engine.py
+++ b/src/swifttrestle/platform/engine.py
@@ -132,7 +132,7 @@
 
 
 def format_kv_source(address: tuple[str, int], handle: KvHandle) -> str:
-    """Return the value of X-Kv-Source, which tells a decode engine where to fetch a KV cache."""
+    """Return the value of X-Kv-Source: where a decode engine fetches a KV cache."""
     return f"{address[0]}:{address[1]}/{handle.name}"
 
 
--- a/src/swifttrestle/platform/settings.py
+++ b/src/swifttrestle/platform/settings.py
@@ -84,7 +84,7 @@
     except OSError as error:
         raise InvalidSettingError(f"{PATH_VARIABLE}={path}: {error}; make it readable") from None
     except orjson.JSONDecodeError as error:
-        raise InvalidSettingError(f"{path} is not JSON: {error}; write it again") from None
+        raise InvalidSettingError(f"{path} is not JSON: {error}; correct it") from None
     return read_host_settings(raw)
 
 
--- a/src/swifttrestle/platform/wire.py
+++ b/src/swifttrestle/platform/wire.py
@@ -41,9 +41,7 @@
 
 @dataclass(frozen=True)
 class RequestMetadata:
-    """Metadata from a request's headers; `deadline_seconds`, the deadline, is in seconds or
-    None.
-    """
+    """Metadata from a request's headers; without a valid deadline, `deadline_seconds` is None."""
 
     request_id: bytes
     deadline_seconds: float | None
@@ -90,7 +88,9 @@
 
 @dataclass(frozen=True)
 class ForwardingHeaders:
-    """Headers that the gateway adds to a forwarded request; `remaining` is the deadline in seconds.
+    """Headers that the gateway adds to a forwarded request.
+
+    `remaining` is the time until the deadline in seconds.
 
     `fetch_from` is the address of another engine, from which the upstream first copies the cached
     prompt parts that it lacks.
@@ -190,7 +190,7 @@
 def read_response_metadata(
     status: int, headers: Sequence[Header], expected: str
 ) -> ResponseMetadata:
-    """Return the metadata of a response; only 421 and the explicit header mean that nothing ran.
+    """Return the metadata of a response; only 421 and X-Not-Executed mean that nothing ran.
 
     `expected` is the instance that the request was sent to.
     """
