--- a/src/swifttrestle/internal/duty_report.py
+++ b/src/swifttrestle/internal/duty_report.py
@@ -8,7 +8,7 @@
     """Yield the lines that describe the `duties` of a state dump."""
     if not duties["held_here"]:
         holder = next(iter(duties["candidates"]), "nobody")
-        yield f"the duties are held by {holder}; ask it for the plans and the counts of all hosts"
+        yield f"the duties are held by {holder}; run `duties` with its operators' address"
     for service, plan in sorted(duties["capacity"].items()):
         yield f"{service}: {plan['need']} needed without any one zone's reclaimable ones"
         for zone, item in sorted(plan["zones"].items()):
--- a/src/swifttrestle/internal/explanation.py
+++ b/src/swifttrestle/internal/explanation.py
@@ -10,8 +10,7 @@
 
 from swifttrestle.errors import NotFoundError
 
-# Events this long before a request's arrival are still shown: more than the longest ejection of
-# an upstream.
+# How long before a request's arrival events are shown: longer than any ejection of an upstream.
 LOOKBACK_SECONDS = 10.0
 # Crashes of its upstream are shown for this long after a request's end.
 LOOKAHEAD_SECONDS = 1.0
