--- a/src/swifttrestle/ctl.py
+++ b/src/swifttrestle/ctl.py
@@ -37,7 +37,7 @@
 from swifttrestle.resources import KINDS, find_reference_errors, group_resources, parse_resource
 
 OUTPUTS = ("table", "yaml", "json")
-EXIT_REFUSED = 1
+EXIT_FAILURE = 1
 POLL_INTERVAL_SECONDS = 0.2
 
 
@@ -365,9 +365,9 @@
         fire.Fire(Ctl, name="swifttrestle-ctl")
     except SwifttrestleError as error:
         sys.stderr.write(f"swifttrestle-ctl: {error}\n")
-        sys.exit(EXIT_REFUSED)
+        sys.exit(EXIT_FAILURE)
     except urllib3.exceptions.HTTPError as error:
         sys.stderr.write(
             f"swifttrestle-ctl: {type(error).__name__}: no response; check the address\n"
         )
-        sys.exit(EXIT_REFUSED)
+        sys.exit(EXIT_FAILURE)
--- a/src/swifttrestle/errors.py
+++ b/src/swifttrestle/errors.py
@@ -98,13 +98,13 @@
 
 
 class HistoryGoneError(SwifttrestleError):
-    """A watch asked for changes that the store no longer keeps; list the objects again."""
+    """A watch asked for changes that the store has discarded; list the objects again."""
 
     code = Code.NOT_FOUND
 
 
 class LeaseLostError(SwifttrestleError):
-    """An operation needed a lease that is no longer held."""
+    """An operation needed a lease that is not held."""
 
     code = Code.LEASE_LOST
 
@@ -128,7 +128,7 @@
 
 
 class UpstreamError(SwifttrestleError):
-    """An upstream call failed; `sent` tells whether a byte of the request may have been sent."""
+    """An upstream call failed; `sent` is set if a byte of the request may have been sent."""
 
     code = Code.UPSTREAM_BROKEN
 
@@ -168,7 +168,7 @@
 
 
 class UpstreamUnreachedError(UpstreamBrokenError):
-    """No connection was established; `refused` tells a refusal from a timeout."""
+    """No connection was established; `refused` is False after a timeout."""
 
     def __init__(self, message: str, refused: bool) -> None:
         """Store whether the connection was refused; no byte of the request was sent."""
--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -52,7 +52,7 @@
 METRICS_PORT = 9464
 # Seconds before the platform kills the process at which it exits even with open requests.
 SHUTDOWN_MARGIN_SECONDS = 0.4
-# Allocations between garbage collections; with Python's default they use too much processor time.
+# Allocations between garbage collections; more than Python's default to save processor time.
 GC_THRESHOLD = 50_000
 
 
