--- a/src/swifttrestle_standins/fleet.py
+++ b/src/swifttrestle_standins/fleet.py
@@ -1,7 +1,7 @@
 """Starts the system's processes and the stand-ins on loopback, for demo, tests and benchmarks.
 
-Addresses are picked once and kept across restarts: a controller that answers on its
-predecessor's peer port shows that the predecessor has ended.
+Addresses are picked once and kept across restarts. A controller that answers on the peer port of
+an earlier one proves that the earlier one has ended.
 """
 
 import itertools
--- a/src/swifttrestle_standins/hosted/demo.py
+++ b/src/swifttrestle_standins/hosted/demo.py
@@ -1,6 +1,6 @@
 """The gateway on stand-ins of its platform: each kind of request, a planned stop, and duties.
 
-A second site revokes a key of a workspace, and orders upstreams, of which the platform reclaims
+On a second site, a key of a workspace is revoked, and upstreams are ordered. The platform reclaims
 those of one zone.
 
 Exits with status 1 if an answer is incomplete or wrong.
--- a/src/swifttrestle_standins/hosted/direct.py
+++ b/src/swifttrestle_standins/hosted/direct.py
@@ -16,8 +16,7 @@
 class DirectStore(ObjectStore):
     """Calls a stand-in in the same event loop.
 
-    `failure_mode` is the failure mode: "up" (none), "busy" (calls fail at once), "silent" (calls
-    time out).
+    `failure_mode` is "up" (no failures), "busy" (calls fail at once) or "silent" (calls time out).
     """
 
     def __init__(
--- a/src/swifttrestle_standins/hosted/site.py
+++ b/src/swifttrestle_standins/hosted/site.py
@@ -210,7 +210,7 @@
     def allow_crashes(
         self, down_seconds: float, born_increment_ms: int, mode: CrashMode = CrashMode.RESET
     ) -> None:
-        """Let deadly requests crash upstreams.
+        """Make deadly requests crash upstreams.
 
         An upstream is down for `down_seconds`. Each restart raises its reported start time by
         `born_increment_ms`.
--- a/src/swifttrestle_standins/hosted/upstreams.py
+++ b/src/swifttrestle_standins/hosted/upstreams.py
@@ -86,6 +86,7 @@
         # Time of its start in Unix milliseconds; 0 if it does not report it.
         self.born = 0
         self.script = Script()
+        # Duration of a run, or of each event of a stream, in seconds.
         self.seconds = 0.005
         self.runs: dict[str, int] = defaultdict(int)
         self.cancelled: list[str] = []
@@ -124,7 +125,7 @@
     def restart(self, born: int) -> None:
         """Restart with the same instance id and the start time `born` (Unix ms), without state.
 
-        Requests that were held by the former process stay held forever.
+        Requests held before the restart never continue.
         """
         self.born = born
         self.hold = asyncio.Event()
@@ -202,6 +203,7 @@
         # Whether the platform may reclaim it, and the notice that it gives, in ms.
         self.reclaimable = False
         self.leaves_ms = 0
+        # Number of events in a stream.
         self.events = 4
         self.handles: dict[str, str] = {}
         self.freed: list[str] = []
@@ -319,7 +321,7 @@
         order = orjson.loads(await request.body.read_whole(MAX_BODY_BYTES))
         self.arrived_orders.append(order)
         if not self.apply_orders:
-            # Like an engine that loses the response and would apply the order only later.
+            # Like an engine whose response is lost and that applies the order later.
             reply.abort()
             return
         if order.get("expectedRev") not in (None, len(self.orders)):
--- a/src/swifttrestle_standins/orders.py
+++ b/src/swifttrestle_standins/orders.py
@@ -30,7 +30,7 @@
         state_file: str,
         abort_streams: Callable[[str], int],
     ) -> None:
-        """Create it with no model loaded.
+        """Start with no model loaded.
 
         `state_file`, if not empty, keeps the highest token across restarts. `abort_streams` is
         called with a reason before a change and returns the number of aborted streams.
