--- a/bench/division.py
+++ b/bench/division.py
@@ -49,7 +49,10 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """Numbers of a service's prefill engines per zone, and the kinds of prompts that it gets."""
+    """A service's prefill engines and prompts.
+
+    `zones` has the number of engines of each zone; `effective_read_rate` is in tokens per second.
+    """
 
     name: str
     zones: tuple[int, ...]
@@ -316,8 +319,12 @@
             self._seen.add(item.part)
 
 
-def _make_traits(memory: int, kilobytes: float, gigabits: float) -> EngineTraits:
-    return EngineTraits(SLOTS, memory, kilobytes * 1000, gigabits * 1.25e8, 5.0, 3.0)
+def _make_traits(
+    kv_tokens: int, kilobytes_per_token: float, gigabits_per_second: float
+) -> EngineTraits:
+    return EngineTraits(
+        SLOTS, kv_tokens, kilobytes_per_token * 1000, gigabits_per_second * 1.25e8, 5.0, 3.0
+    )
 
 
 SCREENING = Workload(
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,7 +1,7 @@
 """Policies by which hosts share the requests per second that an upstream accepts.
 
 A simulation in virtual time. Requests arrive at random hosts, at a higher rate than the limit.
-Datagrams may be lost; hosts fail and restart, and others learn of it with a delay. Arrivals at the
+Datagrams may be lost; hosts fail and restart, and others notice it with a delay. Arrivals at the
 upstream are counted in sliding windows. Not modelled: other upstreams, and how hosts learn the
 limit, which they know from the start.
 """
@@ -38,10 +38,10 @@
 ROUND_TRIP_SECONDS = 0.004
 LOST_SHARE = 0.03
 FAILED_QUERY_SECONDS = 0.05
-# Seconds until other hosts know that a host is gone, and that a new one has joined.
-GONE_KNOWN_SECONDS = 2.0
-JOIN_KNOWN_SECONDS = 0.6
-# Seconds until a lost host restarts, after its loss is known.
+# Seconds until other hosts know that a host has failed, and that it has restarted.
+FAILURE_KNOWN_SECONDS = 2.0
+RESTART_KNOWN_SECONDS = 0.6
+# Seconds after which a failed host restarts, once others know of the failure.
 RESTART_SECONDS = 1.0
 # Share of the permits that are used late, and the maximum delay in seconds.
 LATE_SHARE = 0.2
@@ -126,7 +126,7 @@
 
 
 class RankedShares(LimitPolicy):
-    """As many hosts as the limit has whole requests per second share it; others send nothing."""
+    """Hosts share the limit, one for each whole request per second; others send nothing."""
 
     name = "ranked shares"
 
@@ -204,18 +204,19 @@
     def _stop_hosts(self, now: float) -> None:
         """Stop the first owner and some other hosts, and schedule their restarts."""
         first = self.fleet.find(find_owners(self.fleet.list_known(), "upstream", "a")[0])
-        lost = {first.member.host: first}
+        failing = {first.member.host: first}
         for item in self.fleet.rng.sample(self.fleet.hosts, len(self.fleet.hosts) // 8):
-            lost[item.member.host] = item
-        for host in lost.values():
+            failing[item.member.host] = item
+        for host in failing.values():
             host.up = False
             self.policy.drop_state(host)
-            known_gone_at = now + GONE_KNOWN_SECONDS
-            restarted_at = known_gone_at + RESTART_SECONDS
-            self._schedule(known_gone_at, functools.partial(self._set_known_up, host, False))
+            failure_known_at = now + FAILURE_KNOWN_SECONDS
+            restarted_at = failure_known_at + RESTART_SECONDS
+            self._schedule(failure_known_at, functools.partial(self._set_known_up, host, False))
             self._schedule(restarted_at, functools.partial(self._restart, host))
             self._schedule(
-                restarted_at + JOIN_KNOWN_SECONDS, functools.partial(self._set_known_up, host, True)
+                restarted_at + RESTART_KNOWN_SECONDS,
+                functools.partial(self._set_known_up, host, True),
             )
 
     def _set_known_up(self, host: Host, up: bool, _: float) -> None:
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -24,7 +24,7 @@
 RUN_SECONDS = 120.0
 # Seconds between two changes of the request mix.
 MIX_CHANGE_SECONDS = 20.0
-# Seconds that a run goes on after the last arrival.
+# Seconds for which a run continues after the last arrival.
 TAIL_SECONDS = 30.0
 ENTRIES = 4
 LOADS = (0.5, 0.75, 1.0, 1.25, 1.5)
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A fleet and its request mix; `rate` is about its capacity, in requests per second."""
+    """A fleet and its request mix; `rate` is its approximate capacity in requests per second."""
 
     name: str
     speeds: tuple[float, ...]
--- a/bench/model.py
+++ b/bench/model.py
@@ -85,7 +85,7 @@
     queue: int = 32
     cache_blocks: int = 2000
     role: str = "mixed"
-    away_until: float = 0.0
+    changing_until: float = 0.0
     waiting: list[Request] = field(default_factory=list)
     decoding: list[Request] = field(default_factory=list)
     cache: OrderedDict[int, None] = field(default_factory=OrderedDict)
@@ -160,7 +160,7 @@
     def report(self, now: float) -> LoadReport:
         """Return the current load."""
         holding = EngineAssignment("m", "v1", (), self.role)
-        state = EngineState(self.name, holding, now < self.away_until, "", 0)
+        state = EngineState(self.name, holding, now < self.changing_until, "", 0)
         tokens = sum(request.tokens_left for request in self.waiting)
         return LoadReport(
             state, now, self.slots, len(self.waiting), tokens, len(self.decoding),
@@ -307,7 +307,7 @@
             # Connections to a broken engine time out.
             self.schedule(CONNECT_SECONDS, lambda: self._handle_refusal(request))
             return
-        is_changing = self.clock.time < engine.away_until
+        is_changing = self.clock.time < engine.changing_until
         if is_changing or not engine.take(request, imported):
             if not self.guards.busy_is_not_broken:
                 self.tables[request.entry].note_failure(name)
@@ -359,9 +359,9 @@
                 and request.sent == 0
                 and request.prefill_engine == engine.name
             ):
-                move = request.work.prompt_tokens / IMPORT_TOKENS_PER_SECOND + HOP_SECONDS
+                delay = request.work.prompt_tokens / IMPORT_TOKENS_PER_SECOND + HOP_SECONDS
                 target = request.target
-                self.schedule(move, lambda r=request, t=target: self._deliver(r, t, True))  # type: ignore[misc]
+                self.schedule(delay, lambda r=request, t=target: self._deliver(r, t, True))  # type: ignore[misc]
             else:
                 self.schedule(seconds + HOP_SECONDS, lambda r=request: self._end(r))  # type: ignore[misc]
 
@@ -435,6 +435,6 @@
             return
         engine.role = role
         engine.closed = False
-        engine.away_until = self.clock.time + ROLE_CHANGE_SECONDS
+        engine.changing_until = self.clock.time + ROLE_CHANGE_SECONDS
         self.changed[engine.name] = self.clock.time
         self.role_changes += 1
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -18,7 +18,8 @@
 from swifttrestle.internal.state.request_fingerprints import RequestFingerprint
 
 RUN_SECONDS = 60.0
-AWAY_SECONDS = 4.0
+# Seconds for which an engine is down after a crash.
+DOWN_SECONDS = 4.0
 # Seconds from the start of a deadly run to the crash.
 DEADLY_SECONDS = 0.07
 # Mean seconds of a stream, streams per second, and deadly requests per second.
@@ -69,7 +70,7 @@
         self._rng = random.Random(self.seed)
         self._quarantine = Quarantine(self._rng.random())
         self._numbers = itertools.count()
-        self._away_until = [0.0] * self.engines
+        self._down_until = [0.0] * self.engines
         self._starts = [0] * self.engines
         self._open: list[dict[int, Request]] = [{} for _ in range(self.engines)]
         self._events: list[tuple[float, int, object, tuple[object, ...]]] = []
@@ -99,7 +100,7 @@
         if self._quarantine.find_wait(request.name, self._now) > 0:
             self.counts.quarantined += not request.deadly
             return
-        up = [number for number in range(self.engines) if self._now >= self._away_until[number]]
+        up = [number for number in range(self.engines) if self._now >= self._down_until[number]]
         if not up:
             self._retry_by_caller(request)
             return
@@ -120,7 +121,7 @@
         self.counts.crashes += 1
         self._open[engine] = {}
         self._starts[engine] += 1
-        self._away_until[engine] = self._now + AWAY_SECONDS
+        self._down_until[engine] = self._now + DOWN_SECONDS
         for item in broken:
             crash = Crash(f"{engine}@{start}", self._now)
             self._quarantine.note(item.name, [crash], self._now)
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -40,6 +40,7 @@
 TIMEOUT_SECONDS = 12.0
 # Seconds after the restore at which the upstreams rewrite their entries, and between two polls.
 REWRITE_SECONDS, POLL_SECONDS = 2.0, 0.02
+# Seconds that a fleet runs before the copy is made.
 STEADY_SECONDS = 8.0
 
 
@@ -204,10 +205,10 @@
         }  # fmt: skip
         self.stand_in.put("servers", name, spec)
 
-    def set_failure_mode(self, way: str) -> None:
+    def set_failure_mode(self, failure_mode: str) -> None:
         """Set the failure mode of all hosts' calls."""
         for client in self.clients:
-            client.set_failure_mode(way)
+            client.set_failure_mode(failure_mode)
 
     def count_calls(self) -> int:
         """Return the total number of calls by all hosts."""
