--- a/tests/common/invariants.py
+++ b/tests/common/invariants.py
@@ -69,7 +69,7 @@
 
 
 def check_epochs_seen(samples: dict[str, list[dict[str, int]]]) -> None:
-    """Check that no process, also after a restart, went back to an older epoch."""
+    """Check that no process, also after a restart, reverted to an older epoch."""
     for name, seen in samples.items():
         highest: dict[str, int] = defaultdict(int)
         for epochs in seen:
--- a/tests/common/scenario.py
+++ b/tests/common/scenario.py
@@ -284,8 +284,8 @@
 
     def is_unused_since(self, mark):
         """Whether the engine of a mark has had no new run since."""
-        noted = self.marks[mark]
-        return len(self._runs(noted["engine"])) == noted["runs"]
+        recorded = self.marks[mark]
+        return len(self._runs(recorded["engine"])) == recorded["runs"]
 
     def is_stage(self, engine, stage):
         return self._order(engine).get("stage") == stage
--- a/tests/common/weakened.py
+++ b/tests/common/weakened.py
@@ -27,7 +27,7 @@
 
 
 def controller_that_trusts_time_alone():
-    """Sends orders to engines that ignore tokens, although a former holder may be alive."""
+    """Sends orders to engines that ignore tokens even while a former holder may be alive."""
     Pool._has_authority = lambda self, upstream, view: True
     controller.main()
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -249,7 +249,7 @@
         self._site.duties.faults.lose_answers += 1
 
     async def announce_limit(self):
-        """Announce a rate limit in all responses of an upstream, for longer than hosts learn it."""
+        """Announce a rate limit in an upstream's responses until after hosts must know of it."""
         upstream = self._rng.choice(self._site.initial_upstreams)
         if upstream.extra_headers:
             return
@@ -259,7 +259,7 @@
         upstream.extra_headers = [(b"Server-Limit", f"{rate}".encode())]
         await asyncio.sleep(promises.LIMIT_KNOWN_SECONDS + self._draw_seconds(4.0))
         upstream.extra_headers = []
-        self.limits.append(promises.NamedLimit(upstream, rate, began, loop.time()))
+        self.limits.append(promises.AnnouncedLimit(upstream, rate, began, loop.time()))
 
     async def request_cool_down(self):
         upstream = self._rng.choice(self._site.initial_upstreams)
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class NamedLimit:
+class AnnouncedLimit:
     """A limit that an upstream announced; `rate` per second, times of the event loop's clock."""
 
     upstream: Any
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -133,5 +133,5 @@
 )
 def test_more_requests_than_the_limit_of_an_upstream_are_found(times, found):
     upstream = SimpleNamespace(instance="s0", arrived_at=times)
-    limit = promises.NamedLimit(upstream, 1.0, began=0.5, ended=10.0)
+    limit = promises.AnnouncedLimit(upstream, 1.0, began=0.5, ended=10.0)
     assert len(list(promises.check_limits([limit]))) == found
