--- a/src/swifttrestle/entry.py
+++ b/src/swifttrestle/entry.py
@@ -88,13 +88,13 @@
         process.add_dump("quarantine", self._attempts.guard.list_quarantined)
         process.add_dump("open_requests", lambda: self.handler.open_requests)
         process.metrics.add_gauge(
-            "open_requests", "Requests accepted and not ended", lambda: self.handler.open_requests
+            "open_requests", "Requests taken and not ended", lambda: self.handler.open_requests
         )
         process.metrics.add_gauge(
-            "open_streams", "Streams being relayed", lambda: self.stream_relay.open_streams
+            "open_streams", "Streams in the relay pump", lambda: self.stream_relay.open_streams
         )
         process.metrics.add_gauge(
-            "waiting_requests", "Requests waiting for capacity", lambda: self.queue.waiting
+            "waiting_requests", "Requests waiting for room", lambda: self.queue.waiting
         )
 
     def run(self) -> None:
--- a/src/swifttrestle/internal/operator_pages.py
+++ b/src/swifttrestle/internal/operator_pages.py
@@ -88,21 +88,21 @@
     def _add_gauges(self) -> None:
         gauges: list[tuple[str, str, Callable[[], float]]] = [
             ("config_version", "Configuration in force", lambda: self._configuration.version),
-            ("live_hosts", "Hosts with a live gateway", lambda: len(self._gossip.live_hosts())),
+            ("live_hosts", "Hosts that live", lambda: len(self._gossip.live_hosts())),
             (
                 "removals_held_back",
-                "Instances in use although the list lacks them",
+                "Instances that the list lacks and that are in use",
                 lambda: len(self._discovery.removals),
             ),
             (
                 "quarantined_requests",
-                "Requests that are or recently were quarantined",
+                "Requests that are kept from upstreams, or were until a while ago",
                 lambda: len(self._state.guard.quarantine.list_quarantined()),
             ),
             ("store_epoch", "Epoch of the object store", lambda: self._store.epochs.current),
             (
                 "store_returns",
-                "Restores of the object store from a backup",
+                "Returns of the object store from a copy",
                 lambda: self._store.epochs.returns,
             ),
             ("store_calls", "Calls to the object store", lambda: self._store.calls),
