--- a/src/swifttrestle/internal/coordination/actors.py
+++ b/src/swifttrestle/internal/coordination/actors.py
@@ -55,7 +55,7 @@
             elif isinstance(message, Release):
                 self.release()
         except Exception:
-            logger.exception("actor step failed; the actor continues with its next message")
+            logger.exception("actor step failed")
 
     def step(self, config: ResourceSet) -> None:
         """Run one step with `config`."""
@@ -138,4 +138,4 @@
     try:
         release()
     except (PlatformUnavailableError, ConflictError):
-        logger.warning("lease not released; other processes wait until it expires")
+        logger.warning("lease not released")
--- a/src/swifttrestle/internal/coordination/capacity.py
+++ b/src/swifttrestle/internal/coordination/capacity.py
@@ -31,8 +31,8 @@
 SETTLED_SHARE = 0.8
 # Time beyond the declared boot time within which most new upstreams are listed.
 LISTING_DELAY_SECONDS = 1.2
-# Time for which the number of listed upstreams must not grow before it counts as complete. Until
-# then no upstream is released, since a plan based on part of the list would release too many.
+# Time for which the number of listed upstreams must not grow before the list counts as complete.
+# Until then no upstream is released, since a plan based on part of the list would release too many.
 STABLE_LIST_SECONDS = 2.0
 # Time before an order that was refused or not answered is retried.
 RETRY_SECONDS = 2.0
@@ -159,9 +159,10 @@
     ) -> tuple[int, bool]:
         """Return the initial need, and whether it is based on a complete list.
 
-        This is the need that a former holder recorded. Without one, it is the number of running
-        upstreams, which operators chose, once the list has stopped growing. After the first orders,
-        reclaimable upstreams are left out, since they may be new or reclaimed.
+        A need that a former holder recorded takes precedence. Otherwise the need is the number of
+        running upstreams, which operators chose, and the list is complete once that number has
+        stopped growing. If orders are recorded, reclaimable upstreams are not counted, since they
+        may be new or reclaimed.
         """
         ordered = [item for item in self._require_lease().capacity if item.service == service]
         need = max((item.need for item in ordered), default=0)
--- a/src/swifttrestle/internal/coordination/configuration.py
+++ b/src/swifttrestle/internal/coordination/configuration.py
@@ -25,9 +25,8 @@
 
 # Initial and maximum backoff after a failed call, in seconds.
 FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 0.5
-# Maximum seconds of a watch, for each live host. Watches end at different times, so some host makes
-# a new call about once a second and notifies its peers of a new version, even if no open connection
-# responds.
+# Maximum seconds of a watch, for each live host. Some host then makes a new call about once a
+# second and reports a new version to its peers, even if no open watch responds.
 WATCH_SECONDS_PER_HOST = 1.0
 MIN_WATCH_SECONDS = 2.0
 # Seconds between checks of whether peers still keep this host up to date.
@@ -116,7 +115,7 @@
         return ConfigurationCopy(self._revision, self.raw) if self.table else None
 
     def apply_copy(self, copy: ConfigurationCopy, source: str) -> None:
-        """Put a peer's copy in force if it is newer, and cancel a read of the store it replaces.
+        """Put a peer's copy in force if it is newer, and cancel a pending call to the store.
 
         The store's uncompressed response would delay requests on a slow link.
         """
--- a/src/swifttrestle/internal/coordination/discovery.py
+++ b/src/swifttrestle/internal/coordination/discovery.py
@@ -65,7 +65,8 @@
     ) -> None:
         """Write into a fleet; `changed` is called after each change.
 
-        `find_up_since` returns since when, in the loop's time, the store has answered some peer.
+        `find_up_since` returns since when, in the loop's time, the store has answered some peer
+        without interruption.
         """
         self._relay = relay
         self._relayed = asyncio.Event()
--- a/src/swifttrestle/internal/coordination/duties.py
+++ b/src/swifttrestle/internal/coordination/duties.py
@@ -89,7 +89,7 @@
         )
 
     def list_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return the coroutines that are to run for the life of the process."""
+        """Return the coroutines that run until the process stops."""
         return [self.roles.run(), self.usage.run(), self.capacity.run()]
 
     def describe(self) -> dict[str, Any]:
--- a/src/swifttrestle/internal/coordination/duty_lease.py
+++ b/src/swifttrestle/internal/coordination/duty_lease.py
@@ -45,12 +45,13 @@
 # Time after a restore, beyond SEND_SECONDS and ARRIVAL_SECONDS, in which only the last holder may
 # take the lease.
 FORMER_HOLDER_SECONDS = 1.0
-# This exceeds the number of revisions that a restore can lose.
+# Difference of the lowest tokens of successive epochs. Exceeds the number of revisions that a
+# restore can lose.
 TOKENS_PER_EPOCH = 1 << 24
-# Orders kept on the lease, newest last. This exceeds the number of orders in progress at once.
+# Maximum number of orders on the lease, newest last. Exceeds the number of orders in progress.
 MAX_RECORDED_ORDERS = 16
 
-Change = Callable[[DutyLease], DutyLease]
+LeaseChange = Callable[[DutyLease], DutyLease]
 
 
 class DutyLeaseManager:
@@ -81,7 +82,7 @@
         self._last_held: DutyLease | None = None
         self._written_at = float("-inf")
         self._highest_token = 0
-        # The time until which another holder may have acted whose records a restore has lost.
+        # The time until which a holder whose records were lost in a restore may have acted.
         self.unknown_until = NEVER
         # Serializes the duties' writes, each of which depends on the revision of the one before.
         self._write_lock = asyncio.Lock()
@@ -116,7 +117,7 @@
         if current.epoch != known.revision.epoch:
             return await self._take_restored(current, known)
         if current.holder != self._host:
-            # Another host has written the lease since, so the copy kept here is outdated.
+            # Another host has written the lease since, so this host's copy is outdated.
             self._last_held = None
         is_own = current.holder == self._host
         if not is_own and self._now() - self._seen_at < self._takeover_seconds:
@@ -207,7 +208,7 @@
         if self.lease is not None:
             self.lease = self.lease.with_usage(report)
 
-    async def write_change(self, change: Change) -> float:
+    async def write_change(self, change: LeaseChange) -> float:
         """Write a change of the lease; return the loop's time until which its orders may be sent.
 
         Raises LeaseLostError if another host has taken the lease.
--- a/src/swifttrestle/internal/coordination/entries.py
+++ b/src/swifttrestle/internal/coordination/entries.py
@@ -69,7 +69,7 @@
         return record
 
     def discard(self, name: str) -> None:
-        """Record that an instance is no longer listed, so that any next record is accepted."""
+        """Record that an instance is not listed; its next record may have any start time."""
         self._latest_start.pop(name, None)
         self._skipped.clear(UPSTREAM_KIND, name)
 
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -33,7 +33,7 @@
 READ_INTERVAL_SHARE = 0.2
 # Interval between another host's queries to an aggregator, as a share of the bound.
 QUERY_INTERVAL_SHARE = 0.1
-# Bounds above this one use its intervals.
+# Maximum bound, in seconds, from which the intervals are computed; larger bounds use this one.
 MAX_BOUND_SECONDS = 5.0
 # Intervals vary randomly by this share, so that hosts do not query at the same times.
 JITTER_SHARE = 0.2
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -45,12 +45,12 @@
 # Seconds after the start in which contacted peers answer, and for which their reports of the
 # newest version count. Exceeds the maximum interval between heartbeats.
 DISCOVERY_SECONDS = 0.65
-# Peers named in one heartbeat, so that hosts find each other without the store.
+# Maximum number of peers named in one heartbeat, so that hosts find each other without the store.
 MAX_NAMED_PEERS = 8
-# Prompts in one report; each takes about 60 bytes.
+# Maximum number of prompts in one report.
 MAX_PROMPTS = 12
 
-Work = dict[str, OpenWork]
+WorkByUpstream = dict[str, OpenWork]
 
 
 class Gossip:
@@ -88,12 +88,12 @@
             self.candidates,
             rng,
             self._now,
-            lambda: self._rosters.aggregator_heard_at,
+            lambda: self._rosters.aggregator_message_at,
         )
         self._role_orders = RoleOrders(fleet, self._now)
         self._live: frozenset[str] = frozenset()
         # Open work as last reported, and when the next report of it may be sent.
-        self._reported_work: Work = {}
+        self._reported_work: WorkByUpstream = {}
         self._next_report_at = 0.0
         # The configuration version of this host's last summary.
         self._reported_version = 0
@@ -230,7 +230,7 @@
             if newer or self._rosters.has_changed(confirmations):
                 self._rosters.send(self._make_summary(), self.recipients.list_for_summary())
 
-    def _list_work(self) -> Work:
+    def _list_work(self) -> WorkByUpstream:
         """Return this host's open work as far as peers use it.
 
         In a large fleet that is the work of engines alone, which the schedulers count; other work
@@ -241,7 +241,7 @@
             return work
         return {name: item for name, item in work.items() if self._fleet.is_engine(name)}
 
-    def _note_sent(self, work: Work) -> None:
+    def _note_sent(self, work: WorkByUpstream) -> None:
         self._reported_work = work
         self._next_report_at = self._now() + self._find_interval()
 
@@ -262,7 +262,7 @@
             self._role_orders.list_recent(),
         )
 
-    def _send(self, work: Work, peers: Iterable[Peer], with_known: bool = False) -> None:
+    def _send(self, work: WorkByUpstream, peers: Iterable[Peer], with_known: bool = False) -> None:
         data = pack_report(
             PeerReport(
                 self._me.host,
@@ -320,7 +320,7 @@
         self._demand.update_host(report.host, report.demand)
         for prompt in report.prompts:
             self._fleet.note_prompt(prompt)
-        self._role_orders.take(report.roles, report.host)
+        self._role_orders.apply_shared(report.roles, report.host)
         for host, ip in report.known:
             self._peers.add_peer(host, ip)
         self._handle_version(report.host, report.ip, report.config_version)
@@ -359,7 +359,7 @@
             self._demand.drop_zone(summary.zone)
         else:
             self._demand.update_zone(summary.zone, summary.demand, now)
-        self._role_orders.take(summary.roles, summary.host)
+        self._role_orders.apply_shared(summary.roles, summary.host)
         self._handle_version(summary.host, ip, summary.config_version)
 
     def _record_heartbeat(self, heartbeat: Heartbeat) -> bool:
--- a/src/swifttrestle/internal/coordination/membership.py
+++ b/src/swifttrestle/internal/coordination/membership.py
@@ -50,13 +50,13 @@
 
 @dataclass(frozen=True)
 class PeerView:
-    """The state that a peer last reported; `heard_at` is local monotonic time."""
+    """The state that a peer last reported; `last_heartbeat_at` is local monotonic time."""
 
     identity: Identity
     epochs: dict[str, int]
     generations: dict[str, int]
     open: dict[str, int]
-    heard_at: float
+    last_heartbeat_at: float
 
 
 class OpenRequestCounter:
@@ -123,7 +123,7 @@
         """Return the state that a peer last reported, or None if it is unknown or silent."""
         with self._lock:
             found = self._views.get(name)
-        if found is None or self._clock.now() - found.heard_at > self.silence_timeout:
+        if found is None or self._clock.now() - found.last_heartbeat_at > self.silence_timeout:
             return None
         return found
 
@@ -161,9 +161,7 @@
             if stored and stored.spec.get("incarnation") == self.identity.incarnation:
                 self._api.delete(MEMBER, self.identity.name, stored.version)
         except (PlatformUnavailableError, ConflictError):
-            log_warning(
-                "member object not deleted; it stays until a restart or until the host is gone"
-            )
+            log_warning("member object not deleted")
         self._stopped.set()
         self.announce()
 
@@ -179,8 +177,8 @@
                 self._api.delete(MEMBER, stored.name, stored.version)
                 log_info("member object deleted", member=stored.name, host=identity.host)
 
-    # A process registers before it reads any plan. A planner writes its order before it lists the
-    # members, so it cannot miss a process that has not seen the order.
+    # A process registers before it reads orders or closings. The holder of a pool's lease records
+    # an order before it lists the members, so it cannot miss one that does not know the order.
 
     def register_once(self) -> bool:
         """Write the Member object; return whether that succeeded."""
@@ -323,17 +321,15 @@
             )
         if message.generations:
             self._closings.merge(message.generations)
-        behind = self._config.find_outdated(message.epochs or {})
-        if behind:
-            stream.send(pack_message(PullShards(behind)))
+        outdated = self._config.find_outdated(message.epochs or {})
+        if outdated:
+            stream.send(pack_message(PullShards(outdated)))
 
 
 def read_member(stored: StoredObject) -> Identity | None:
     """Return the identity of a Member object, or None where it cannot be read."""
     try:
-        return Identity(
-            **{key: stored.spec[key] for key in Identity.__dataclass_fields__}  # fields by name
-        )
+        return Identity(**{key: stored.spec[key] for key in Identity.__dataclass_fields__})
     except (KeyError, TypeError):
         return None
 
--- a/src/swifttrestle/internal/coordination/orders.py
+++ b/src/swifttrestle/internal/coordination/orders.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """One order; `number` increases with each order of an engine, `fence` was sent last.
+    """One order; `number` increases with each order of an engine, `fence` is the last number sent.
 
     `boot` identifies the engine's boot when the order was sent. A later boot proves that an order
     of unknown outcome is no longer queued in the engine.
--- a/src/swifttrestle/internal/coordination/recipients.py
+++ b/src/swifttrestle/internal/coordination/recipients.py
@@ -32,11 +32,11 @@
         candidates: DutyCandidates,
         rng: random.Random,
         now: Callable[[], float],
-        find_aggregator_heard_at: Callable[[], float],
+        find_aggregator_message_at: Callable[[], float],
     ) -> None:
         """Choose among `peers`; `candidates` knows whether this host is stopping.
 
-        `find_aggregator_heard_at` returns when the last message of an aggregator of this host's
+        `find_aggregator_message_at` returns when the last message of an aggregator of this host's
         zone was received.
         """
         self._me = me
@@ -44,9 +44,10 @@
         self._candidates = candidates
         self._rng = rng
         self._now = now
-        self._find_aggregator_heard_at = find_aggregator_heard_at
+        self._find_aggregator_message_at = find_aggregator_message_at
         self._representatives = Representatives(me, self.list_members)
-        # Returns the hosts that schedule engines; and whether this host is one of them.
+        # `list_schedulers` returns the hosts that schedule engines; `schedules` is whether this
+        # host is one of them.
         self.list_schedulers: Callable[[], set[str]] = set
         self.schedules = False
         self._schedulers: set[str] = set()
@@ -84,8 +85,8 @@
     def list_for_heartbeat(self, now: float, has_work: bool) -> list[Peer]:
         """Return the recipients of a heartbeat in a large fleet, and schedulers if `has_work`.
 
-        A scheduler with open work reports to its whole zone, whose hosts book by its last report
-        if it falls silent.
+        A scheduler with open work reports to its whole zone, whose hosts use its last report
+        for bookings if it becomes silent.
         """
         zone = self._me.zone
         orphaned = self.is_orphaned(now)
@@ -109,7 +110,7 @@
 
     def is_orphaned(self, now: float) -> bool:
         """Return whether no aggregator of this host's zone has sent a message recently."""
-        silent = now - self._find_aggregator_heard_at() >= ORPHANED_SECONDS
+        silent = now - self._find_aggregator_message_at() >= ORPHANED_SECONDS
         return silent and self.is_large_fleet() and not self.is_representative()
 
     def is_representative(self) -> bool:
--- a/src/swifttrestle/internal/coordination/role_orders.py
+++ b/src/swifttrestle/internal/coordination/role_orders.py
@@ -48,7 +48,7 @@
             for engine, (role, ready_at) in self._orders.items()
         }
 
-    def take(self, shared: dict[str, tuple[str, float]], sender: str) -> None:
+    def apply_shared(self, shared: dict[str, tuple[str, float]], sender: str) -> None:
         """Apply the orders that a peer shares; skip unknown roles."""
         now = self._now()
         for engine, (role, delay) in shared.items():
--- a/src/swifttrestle/internal/coordination/roles.py
+++ b/src/swifttrestle/internal/coordination/roles.py
@@ -96,7 +96,7 @@
         self._delay = RoleChangeDelay()
 
     async def run(self) -> None:
-        """Plan roles periodically for the life of the process."""
+        """Plan roles periodically until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             try:
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -76,15 +76,15 @@
         self._confirmed_rosters: dict[str, _ConfirmedRosters] = {}
         self._sent_digests: frozenset[bytes] = frozenset()
         # When a message of an aggregator of this host's zone was last received.
-        self.aggregator_heard_at = NEVER
+        self.aggregator_message_at = NEVER
         socket.set_receiver(DatagramKind.ROSTER, self._receive)
 
     def refresh_own(self) -> RosterConfirmation:
         """Return the confirmation of a roster of the zone's hosts that send this one heartbeats."""
-        heard = self._peers.list_alive(self._now())
+        alive = self._peers.list_alive(self._now())
         zone = self._me.zone
         return self._store_roster(
-            Roster.of(zone, [self._me, *(i for i in heard if i.zone == zone)])
+            Roster.of(zone, [self._me, *(i for i in alive if i.zone == zone)])
         )
 
     def list_orphaned(self) -> tuple[RosterConfirmation, ...]:
@@ -93,14 +93,14 @@
         This host receives their heartbeats and reports them until their zone has aggregators again.
         """
         now = self._now()
-        heard = [item for item in self._peers.list_alive(now) if item.zone != self._me.zone]
+        alive = [item for item in self._peers.list_alive(now) if item.zone != self._me.zone]
         covering = [
             digest for digest, at in self._own_rosters.values() if now - at < COVERAGE_SECONDS
         ]
         covered = self._list_hosts(covering)
-        zones = {item.zone for item in heard if item.host not in covered}
+        zones = {item.zone for item in alive if item.host not in covered}
         return tuple(
-            self._store_roster(Roster.of(zone, (item for item in heard if item.zone == zone)))
+            self._store_roster(Roster.of(zone, (item for item in alive if item.zone == zone)))
             for zone in sorted(zones)
         )
 
@@ -180,7 +180,7 @@
             raise FrameError(f"a summary names this host as its sender ({summary.host})")
         now = self._now()
         if summary.zone == self._me.zone:
-            self.aggregator_heard_at = now
+            self.aggregator_message_at = now
         self._own_rosters[summary.host] = (summary.own.digest, now)
         self._handle(summary, ip)
         self._confirm(summary, ip, now)
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -95,7 +95,7 @@
     assert names(table, 10.2) == ["me", "other"]
 
 
-def test_a_silent_peer_may_come_back_with_a_lower_incarnation():
+def test_a_silent_peer_may_return_with_a_lower_incarnation():
     # The incarnation is taken from the time of day, which can jump back.
     table = PeerTable(ME)
     table.record_heartbeat(make_heartbeat(OTHER, 7), 10.0)
@@ -207,9 +207,9 @@
             self.network.receivers[ip](data, self.ip)
 
 
-def make_rosters(network, member, clock, heard=()):
+def make_rosters(network, member, clock, alive=()):
     table = PeerTable(member)
-    for peer in heard:
+    for peer in alive:
         table.record_heartbeat(make_heartbeat(peer), clock[0])
     rosters = Rosters(member, network.socket(member.ip), table, lambda *_: None, lambda: clock[0])
     return table, rosters
@@ -224,7 +224,7 @@
 def test_a_host_requests_a_roster_once_and_then_needs_only_its_digest():
     network, clock = InstantNetwork(), [10.0]
     hosts = make_roster(40).members
-    _, far = make_rosters(network, FAR, clock, heard=hosts)
+    _, far = make_rosters(network, FAR, clock, alive=hosts)
     table, _ = make_rosters(network, ME, clock)
     far.send(summarise(far, FAR), [ME])
     assert len(names(table, 10.0)) == 42
@@ -239,7 +239,7 @@
 
 def test_the_entries_of_a_lost_datagram_are_requested_again():
     network, clock = InstantNetwork(), [10.0]
-    _, far = make_rosters(network, FAR, clock, heard=make_roster(5).members)
+    _, far = make_rosters(network, FAR, clock, alive=make_roster(5).members)
     table, _ = make_rosters(network, ME, clock)
     receive = network.receivers.pop(FAR.ip)
     far.send(summarise(far, FAR), [ME])
@@ -252,7 +252,7 @@
 
 def test_an_aggregator_relays_the_rosters_of_others_with_their_age():
     network, clock = InstantNetwork(), [10.0]
-    _, far = make_rosters(network, FAR, clock, heard=make_roster(5).members)
+    _, far = make_rosters(network, FAR, clock, alive=make_roster(5).members)
     other_table, other = make_rosters(network, OTHER, clock)
     table, _ = make_rosters(network, ME, clock)
     far.send(summarise(far, FAR), [OTHER])
@@ -269,9 +269,9 @@
 def test_aggregators_with_different_rosters_do_not_override_each_other():
     network, clock = InstantNetwork(), [10.0]
     hosts = make_roster(3).members
-    _, first = make_rosters(network, FAR, clock, heard=hosts[:2])
+    _, first = make_rosters(network, FAR, clock, alive=hosts[:2])
     second_member = Member("far2", "10.0.1.2", "b", 5.0)
-    _, second = make_rosters(network, second_member, clock, heard=hosts[1:])
+    _, second = make_rosters(network, second_member, clock, alive=hosts[1:])
     table, _ = make_rosters(network, ME, clock)
     first.send(summarise(first, FAR), [ME])
     second.send(summarise(second, second_member), [ME])
@@ -281,7 +281,7 @@
 def test_a_host_that_an_aggregator_no_longer_reports_is_gone_with_its_next_summary():
     network, clock = InstantNetwork(), [10.0]
     hosts = make_roster(3).members
-    far_table, far = make_rosters(network, FAR, clock, heard=hosts)
+    far_table, far = make_rosters(network, FAR, clock, alive=hosts)
     table, _ = make_rosters(network, ME, clock)
     far.send(summarise(far, FAR), [ME])
     clock[0] = 12.2
@@ -295,8 +295,8 @@
     network, clock = InstantNetwork(), [10.0]
     hosts = make_roster(2).members
     second_member = Member("far2", "10.0.1.2", "b", 5.0)
-    far_table, far = make_rosters(network, FAR, clock, heard=hosts)
-    second_table, second = make_rosters(network, second_member, clock, heard=hosts)
+    far_table, far = make_rosters(network, FAR, clock, alive=hosts)
+    second_table, second = make_rosters(network, second_member, clock, alive=hosts)
     table, _ = make_rosters(network, ME, clock)
     for _ in range(5):
         clock[0] += 0.5
@@ -311,7 +311,7 @@
 def test_orphaned_hosts_are_reported_by_any_host_that_receives_their_heartbeats():
     network, clock = InstantNetwork(), [10.0]
     hosts = make_roster(3).members
-    _, other = make_rosters(network, OTHER, clock, heard=hosts)
+    _, other = make_rosters(network, OTHER, clock, alive=hosts)
     table, _ = make_rosters(network, ME, clock)
     other.send(summarise(other, OTHER, others=other.list_orphaned()), [ME])
     assert names(table, 10.0) == ["h000", "h001", "h002", "me", "other"]
@@ -320,7 +320,7 @@
 def test_a_roster_that_its_sender_has_replaced_is_not_relayed():
     network, clock = InstantNetwork(), [10.0]
     hosts = make_roster(3).members
-    far_table, far = make_rosters(network, FAR, clock, heard=hosts)
+    far_table, far = make_rosters(network, FAR, clock, alive=hosts)
     _, other = make_rosters(network, OTHER, clock)
     clock[0] = 11.5
     far.send(summarise(far, FAR), [OTHER])
@@ -339,7 +339,7 @@
 
 def test_a_host_that_was_only_reported_is_in_no_roster_of_this_host():
     network, clock = InstantNetwork(), [10.0]
-    _, other = make_rosters(network, OTHER, clock, heard=[Member("gone", "10.0.0.9", "a", 1.0)])
+    _, other = make_rosters(network, OTHER, clock, alive=[Member("gone", "10.0.0.9", "a", 1.0)])
     table, mine = make_rosters(network, ME, clock)
     other.send(summarise(other, OTHER), [ME])
     assert "gone" in names(table, 10.0)
@@ -385,15 +385,15 @@
     return fleet.instances["i"], RoleOrders(fleet, lambda: clock[0])
 
 
-def test_an_order_that_hosts_relay_to_each_other_does_not_last_longer():
+def test_an_order_that_hosts_relay_to_each_other_expires_in_time():
     clock = [10.0]
     _, first = make_orders(clock)
     _, second = make_orders(clock)
     first.note("i", Role.DECODE, 11.0)
     for _ in range(200):
         clock[0] += 0.1
-        second.take(first.list_recent(), "first")
-        first.take(second.list_recent(), "second")
+        second.apply_shared(first.list_recent(), "first")
+        first.apply_shared(second.list_recent(), "second")
     assert not first.list_recent()
     assert not second.list_recent()
 
@@ -402,17 +402,17 @@
     clock = [10.0]
     engine, orders = make_orders(clock)
     orders.note("i", Role.DECODE, 15.0)
-    orders.take({"i": ("prefill", 1.0)}, "late peer")
+    orders.apply_shared({"i": ("prefill", 1.0)}, "late peer")
     assert engine.role is Role.DECODE
     assert orders.list_recent() == {"i": ("decode", 5.0)}
-    orders.take({"i": ("prefill", 9.0)}, "peer")
+    orders.apply_shared({"i": ("prefill", 9.0)}, "peer")
     assert engine.role is Role.PREFILL
 
 
 def test_an_unknown_role_is_skipped():
     clock = [10.0]
     engine, orders = make_orders(clock)
-    orders.take({"i": ("dreaming", 1.0)}, "peer")
+    orders.apply_shared({"i": ("dreaming", 1.0)}, "peer")
     assert engine.role is Role.PREFILL
 
 
@@ -537,7 +537,9 @@
         ([(10.0, None)], 10.1, float("inf")),
     ],
 )
-def test_a_peer_reports_the_store_available_by_its_own_last_report(heartbeats, asked_at, expected):
+def test_the_store_counts_as_available_to_a_peer_by_its_own_last_report(
+    heartbeats, asked_at, expected
+):
     table = PeerTable(ME)
     for at, seconds in heartbeats:
         table.record_heartbeat(make_heartbeat(OTHER, store_seconds=seconds), at)
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -85,7 +85,7 @@
     fleet.note_peer("peer", {FIRST.start: OpenWork(700, 3)}, now=1.0)
     fleet.note_ordered_role(FIRST.start, Role.DECODE, ready_at=6.0)
     roles = RoleOrders(fleet, lambda: 1.0)
-    roles.take({FIRST.start: ("decode", 2.0)}, "peer")
+    roles.apply_shared({FIRST.start: ("decode", 2.0)}, "peer")
     assert not fleet.put(replace(FIRST, leaving=True))
     assert fleet.find_current_incarnation("e") is current
     assert (current.total, current.role, current.leaving) == (NO_WORK, Role.PREFILL, False)
