--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -70,7 +70,7 @@
     [
         # No reclaimable upstream runs yet: the others stay, within the limit of a zone.
         (29, (10, 10, 9), (0, 0, 0), (), [(10, 13), (10, 13), (9, 13)]),
-        # Some run: those non-reclaimable ones stay that are needed if the fullest zone is lost.
+        # Some run: only the non-reclaimable ones that a loss of the fullest zone requires stay.
         (29, (10, 10, 9), (9, 9, 10), (), [(4, 13), (4, 13), (3, 13)]),
         (29, (4, 4, 4), (13, 13, 13), (), [(1, 13), (1, 13), (1, 13)]),
         # A zone was reclaimed: the others meet the need, and no upstream is added.
@@ -259,14 +259,14 @@
 
 # The policies under the loads of the model in bench/capacity.py.
 
-CHEAP = [load for load in LOADS if load.reclaimable_price < 0.5]
+CHEAP_LOADS = [load for load in LOADS if load.reclaimable_price < 0.5]
 
 
-@pytest.mark.parametrize("load", CHEAP, ids=[load.name for load in CHEAP])
+@pytest.mark.parametrize("load", CHEAP_LOADS, ids=[load.name for load in CHEAP_LOADS])
 def test_the_zone_redundant_policy_misses_no_more_than_any_other_and_costs_half(load):
     outcomes = {name: play(load, policy) for name, policy in POLICIES.items()}
     chosen = outcomes["reclaimable, reserve for a zone"]
-    # The tolerance equals one upstream for some seconds of a run.
+    # Tolerates a difference of one upstream for some seconds.
     assert chosen.missed <= min(item.missed for item in outcomes.values()) + 0.001
     assert chosen.price <= 0.5 * outcomes["lasting alone"].price
 
--- a/tests/cover/test_entries.py
+++ b/tests/cover/test_entries.py
@@ -37,7 +37,7 @@
 OMITTED = "(left out)"
 
 
-def change(**fields):
+def make_spec(**fields):
     changed = {**GOOD, **fields}
     return {name: value for name, value in changed.items() if value is not OMITTED}
 
@@ -63,9 +63,9 @@
     ],
     ids=repr,
 )
-def test_an_invalid_field_of_a_record_is_refused_by_name(field, value):
+def test_an_invalid_field_of_a_record_is_named_in_the_error(field, value):
     with pytest.raises(BadEntryError) as caught:
-        read_upstream("i", change(**{field: value}))
+        read_upstream("i", make_spec(**{field: value}))
     assert caught.value.field == field
     assert caught.value.reason
 
@@ -89,7 +89,7 @@
 def test_a_valid_record_is_read_with_unknown_or_missing_optional_fields(
     fields, role, leaving, born
 ):
-    record = read_upstream("i", change(**fields))
+    record = read_upstream("i", make_spec(**fields))
     assert (record.role, record.leaving, record.born) == (role, leaving, born)
     assert record.address == ("10.0.0.1", 80)
 
@@ -206,7 +206,7 @@
         )
 
     def put(self, name, **fields):
-        self.store.stand_in.put("servers", name, change(**fields))
+        self.store.stand_in.put("servers", name, make_spec(**fields))
 
     async def run(self):
         task = asyncio.ensure_future(self.discovery.run())
@@ -287,7 +287,7 @@
     fleet = Fleet()
     skipped = []
     entries = UpstreamEntries(fleet, SkippedEntries(lambda kind, field: skipped.append(field)))
-    with_start = objects.StoredObject("servers", "i", StoreRevision(0, 1), change(born=5))
+    with_start = objects.StoredObject("servers", "i", StoreRevision(0, 1), make_spec(born=5))
     without_start = objects.StoredObject("servers", "i", StoreRevision(0, 2), GOOD)
     assert entries.read(with_start).born == 5
     assert entries.read(without_start) is None
--- a/tests/cover/test_hosts.py
+++ b/tests/cover/test_hosts.py
@@ -5,7 +5,7 @@
 from swifttrestle.internal.protocol.platform import HostRecord
 from tests.common.fakes import FakeClock
 
-LAG = 10.0
+LAG_SECONDS = 10.0
 
 
 class Hosts:
@@ -21,7 +21,7 @@
 
 def make_tracker():
     hosts, clock = Hosts(), FakeClock()
-    tracker = HostTracker(hosts, clock, LAG)
+    tracker = HostTracker(hosts, clock, LAG_SECONDS)
     tracker.refresh()
     return hosts, clock, tracker
 
@@ -43,7 +43,7 @@
     hosts.names = ("h2",)
     tracker.refresh()
     assert not tracker.is_gone("h1")
-    pass_time(clock, tracker, LAG)
+    pass_time(clock, tracker, LAG_SECONDS)
     assert not tracker.is_gone("h1")
     pass_time(clock, tracker, 1)
     assert tracker.is_gone("h1")
@@ -52,7 +52,7 @@
 def test_a_host_that_was_never_seen_is_gone_after_the_lag_as_well():
     _, clock, tracker = make_tracker()
     assert not tracker.is_gone("h9")
-    pass_time(clock, tracker, LAG + 1)
+    pass_time(clock, tracker, LAG_SECONDS + 1)
     assert tracker.is_gone("h9")
 
 
@@ -66,14 +66,14 @@
     hosts.names = ("h1",)
     tracker.refresh()
     assert not tracker.is_gone("h9")
-    pass_time(clock, tracker, LAG + 1)
+    pass_time(clock, tracker, LAG_SECONDS + 1)
     assert tracker.is_gone("h9")
 
 
 def test_a_host_that_is_listed_again_is_not_gone():
     _, clock, tracker = make_tracker()
     tracker.is_gone("h9")
-    pass_time(clock, tracker, LAG + 1)
+    pass_time(clock, tracker, LAG_SECONDS + 1)
     tracker._hosts.names = ("h1", "h9")
     tracker.refresh()
     assert not tracker.is_gone("h9")
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -7,7 +7,7 @@
 from swifttrestle.internal.coordination.leases import LEASE, Holder, LeaseManager, make_fence
 from tests.common.fakes import FakeApi, FakeCache, FakeClock
 
-DURATION, MARGIN = 9.0, 1.0
+DURATION_SECONDS, MARGIN_SECONDS = 9.0, 1.0
 
 
 class Contenders:
@@ -23,7 +23,13 @@
         cache = FakeCache(self.api, self.clock)
         me = Holder(name, f"host-{name}", incarnation)
         return LeaseManager(
-            self.api, cache, "pool", me, self.clock, duration=DURATION, margin=MARGIN
+            self.api,
+            cache,
+            "pool",
+            me,
+            self.clock,
+            duration=DURATION_SECONDS,
+            margin=MARGIN_SECONDS,
         )
 
     def pass_time(self, seconds, *running):
@@ -50,12 +56,12 @@
 
 def test_a_holder_stops_by_itself_before_another_may_take_over(contenders):
     contenders.two.tick()
-    contenders.pass_time(DURATION - MARGIN, contenders.two)
+    contenders.pass_time(DURATION_SECONDS - MARGIN_SECONDS, contenders.two)
     assert not contenders.one.held
     assert not contenders.two.held
     with pytest.raises(LeaseLostError):
         contenders.one.check()
-    contenders.pass_time(2 * MARGIN + 1, contenders.two)
+    contenders.pass_time(2 * MARGIN_SECONDS + 1, contenders.two)
     assert contenders.two.held
     assert contenders.two.check() == 2
 
@@ -80,11 +86,11 @@
 
 def test_an_expired_lease_lists_its_former_holder_until_that_one_resumes(contenders):
     contenders.two.tick()
-    contenders.pass_time(DURATION + MARGIN + 1, contenders.two)
+    contenders.pass_time(DURATION_SECONDS + MARGIN_SECONDS + 1, contenders.two)
     assert [h.name for h in contenders.two.lease.former] == ["one"]
     contenders.one.tick()
     contenders.one.tick()
-    contenders.pass_time(DURATION, contenders.two)
+    contenders.pass_time(DURATION_SECONDS, contenders.two)
     assert contenders.two.held
     assert contenders.two.lease.former == ()
 
--- a/tests/cover/test_removals.py
+++ b/tests/cover/test_removals.py
@@ -19,16 +19,16 @@
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("seconds_after_outage", [3.0, 3.15, 3.5, 4.2, 5.0])
 @pytest.mark.parametrize(
-    ("way", "outage_seconds"), [("silent", 5.1), ("silent", 8.6), ("busy", 5.0)]
+    ("failure_mode", "outage_seconds"), [("silent", 5.1), ("silent", 8.6), ("busy", 5.0)]
 )
 def test_an_instance_that_is_withdrawn_after_an_outage_is_removed_in_time(
-    way, outage_seconds, seconds_after_outage, seed
+    failure_mode, outage_seconds, seconds_after_outage, seed
 ):
     # Guards against held back removals that are checked only after the next watch.
     async def scenario():
         host = Host(seed)
         await asyncio.sleep(6.0 + seed * 0.37)
-        await host.lose_store(way, outage_seconds)
+        await host.lose_store(failure_mode, outage_seconds)
         await asyncio.sleep(seconds_after_outage)
         assert host.knows("s0")
         host.store.stand_in.remove("servers", "s0")
@@ -41,14 +41,14 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize(("way", "outage_seconds"), [("silent", 5.1), ("busy", 5.0)])
+@pytest.mark.parametrize(("failure_mode", "outage_seconds"), [("silent", 5.1), ("busy", 5.0)])
 def test_an_instance_whose_record_expired_in_an_outage_stays_in_use_if_written_again_in_time(
-    way, outage_seconds, seed
+    failure_mode, outage_seconds, seed
 ):
     async def scenario():
         host = Host(seed)
         await asyncio.sleep(6.0 + seed * 0.37)
-        lost = asyncio.ensure_future(host.lose_store(way, outage_seconds))
+        lost = asyncio.ensure_future(host.lose_store(failure_mode, outage_seconds))
         await asyncio.sleep(outage_seconds - 1.0)
         host.store.stand_in.remove("servers", "s0")
         await lost
@@ -70,7 +70,7 @@
         return False
 
 
-def follow(revision, count=1):
+def next_revision(revision, count=1):
     return StoreRevision(revision.epoch, revision.number + count)
 
 
@@ -87,9 +87,13 @@
     async def scenario():
         host, revision = await start_follower()
         host.relay.take(ListingChanges(revision, revision, 2.2))
-        host.relay.take(ListingChanges(revision, follow(revision), 0.0, removed=("s0",)))
+        host.relay.take(ListingChanges(revision, next_revision(revision), 0.0, removed=("s0",)))
         assert not host.knows("s0")
-        host.relay.take(ListingChanges(follow(revision), follow(revision, 2), 2.2, removed=("s1",)))
+        host.relay.take(
+            ListingChanges(
+                next_revision(revision), next_revision(revision, 2), 2.2, removed=("s1",)
+            )
+        )
         assert host.knows("s1")
         await asyncio.sleep(2.5)
         assert not host.knows("s1")
@@ -101,8 +105,8 @@
 def test_a_removal_is_held_back_no_longer_than_the_shortest_time_of_any_sender():
     async def scenario():
         host, revision = await start_follower()
-        host.relay.take(ListingChanges(revision, follow(revision), 2.2, removed=("s0",)))
-        host.relay.take(ListingChanges(revision, follow(revision), 0.5, removed=("s0",)))
+        host.relay.take(ListingChanges(revision, next_revision(revision), 2.2, removed=("s0",)))
+        host.relay.take(ListingChanges(revision, next_revision(revision), 0.5, removed=("s0",)))
         assert host.knows("s0")
         await asyncio.sleep(0.8)
         assert not host.knows("s0")
@@ -111,7 +115,7 @@
     run_in_virtual_time(scenario())
 
 
-def record(name, leaving=False):
+def make_record(name, leaving=False):
     return UpstreamRecord(name, "alerts", ("10.0.0.9", 80), "a", 6, leaving, Role.NONE)
 
 
@@ -120,17 +124,27 @@
     [
         # Only the final state counts, and a gap between the two messages stays visible.
         (
-            ListingChanges(StoreRevision(0, 3), StoreRevision(0, 5), 0.0, (record("s0"),), ("s1",)),
-            ListingChanges(StoreRevision(0, 5), StoreRevision(0, 8), 1.0, (record("s1"),), ("s0",)),
-            ListingChanges(StoreRevision(0, 3), StoreRevision(0, 8), 1.0, (record("s1"),), ("s0",)),
+            ListingChanges(
+                StoreRevision(0, 3), StoreRevision(0, 5), 0.0, (make_record("s0"),), ("s1",)
+            ),
+            ListingChanges(
+                StoreRevision(0, 5), StoreRevision(0, 8), 1.0, (make_record("s1"),), ("s0",)
+            ),
+            ListingChanges(
+                StoreRevision(0, 3), StoreRevision(0, 8), 1.0, (make_record("s1"),), ("s0",)
+            ),
         ),
         (
-            ListingChanges(StoreRevision(0, 3), StoreRevision(0, 5), 0.0, (record("s0"),), ("s1",)),
+            ListingChanges(
+                StoreRevision(0, 3), StoreRevision(0, 5), 0.0, (make_record("s0"),), ("s1",)
+            ),
             ListingChanges(StoreRevision(0, 5), StoreRevision(0, 6), 0.0),
-            ListingChanges(StoreRevision(0, 3), StoreRevision(0, 6), 0.0, (record("s0"),), ("s1",)),
+            ListingChanges(
+                StoreRevision(0, 3), StoreRevision(0, 6), 0.0, (make_record("s0"),), ("s1",)
+            ),
         ),
         (
-            ListingChanges(StoreRevision(0, 3), StoreRevision(0, 5), 0.0, (record("s0"),), ()),
+            ListingChanges(StoreRevision(0, 3), StoreRevision(0, 5), 0.0, (make_record("s0"),), ()),
             ListingChanges(StoreRevision(0, 6), StoreRevision(0, 8), 0.0, (), ("s1",)),
             ListingChanges(StoreRevision(0, 6), StoreRevision(0, 8), 0.0, (), ("s1",)),
         ),
--- a/tests/cover/test_restored_lease.py
+++ b/tests/cover/test_restored_lease.py
@@ -18,7 +18,7 @@
 
 LEASE_SECONDS = 3.0
 TICK_SECONDS = 0.5
-# Age of the oldest copy, and the longest outage of the store.
+# Age of the oldest copy, and the maximum outage of the store.
 OLDEST_COPY_SECONDS, MAX_OUTAGE_SECONDS = 10.0, 3.0
 RUN_SECONDS = 60.0
 
@@ -105,32 +105,32 @@
                 pass
 
 
-def find_faults(arrived):
+def find_violations(arrived):
     """Return the violations that engines and the platform would see in the arrived calls."""
-    faults = []
+    violations = []
     holders = {}
     highest = 0
     # The successive holders: name and time of the last call.
     terms = []
     for at, host, token in sorted(arrived):
         if holders.setdefault(token, host) != host:
-            faults.append(f"{at:.2f}: {host} uses the token of {holders[token]}")
+            violations.append(f"{at:.2f}: {host} uses the token of {holders[token]}")
         if token < highest:
-            faults.append(f"{at:.2f}: {host} uses token {token} after token {highest}")
+            violations.append(f"{at:.2f}: {host} uses token {token} after token {highest}")
         highest = max(highest, token)
         if terms and terms[-1][0] == host:
             terms[-1] = (host, at)
             continue
         if len(terms) > 1 and terms[-2][0] == host and at - terms[-2][1] < LEASE_SECONDS:
-            faults.append(f"{at:.2f}: {host} and {terms[-1][0]} act at the same time")
+            violations.append(f"{at:.2f}: {host} and {terms[-1][0]} act at the same time")
         terms.append((host, at))
-    return faults
+    return violations
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_one_host_at_a_time_acts_and_tokens_increase_over_restores_of_the_store(seed):
     site = Site(seed)
     run_in_virtual_time(site.run())
-    assert find_faults(site.arrived) == []
+    assert find_violations(site.arrived) == []
     # Hosts act again after each outage and each restore.
     assert len(site.arrived) >= 10
--- a/tests/cover/test_restored_list.py
+++ b/tests/cover/test_restored_list.py
@@ -18,7 +18,7 @@
 DRAINING = {**RECORD, "state": "draining"}
 
 RESTORES = [("silent", 3.0), ("busy", 0.4), ("busy", 3.0), ("up", 0.0)]
-on_restores = pytest.mark.parametrize(("way", "outage_seconds"), RESTORES)
+on_restores = pytest.mark.parametrize(("failure_mode", "outage_seconds"), RESTORES)
 on_seeds = pytest.mark.parametrize("seed", range(8))
 
 
@@ -34,10 +34,10 @@
     run_in_virtual_time(run_all())
 
 
-async def restore_store(host, copy, way, outage_seconds):
+async def restore_store(host, copy, failure_mode, outage_seconds):
     """Make the store unavailable for a time, then restore it from a copy."""
     if outage_seconds:
-        host.store.set_failure_mode(way)
+        host.store.set_failure_mode(failure_mode)
         await asyncio.sleep(outage_seconds)
     host.store.stand_in.restore(copy)
     host.store.set_failure_mode("up")
@@ -53,13 +53,13 @@
 @on_restores
 @on_seeds
 def test_an_upstream_that_the_copy_lacks_stays_in_use_until_it_writes_again(
-    way, outage_seconds, seed
+    failure_mode, outage_seconds, seed
 ):
     async def scenario(host, store):
         copy = store.copy_contents()
         store.put("servers", "s2", RECORD)
         await asyncio.sleep(3.0)
-        await restore_store(host, copy, way, outage_seconds)
+        await restore_store(host, copy, failure_mode, outage_seconds)
         await watch_for(REWRITE_SECONDS, lambda: host.uses("s2"))
         store.repeat_write("servers", "s2")
         await watch_for(5.0, lambda: host.uses("s2"))
@@ -70,13 +70,13 @@
 @on_restores
 @on_seeds
 def test_an_upstream_that_the_copy_lacks_and_that_is_gone_is_removed_in_time(
-    way, outage_seconds, seed
+    failure_mode, outage_seconds, seed
 ):
     async def scenario(host, store):
         copy = store.copy_contents()
         store.put("servers", "s2", RECORD)
         await asyncio.sleep(3.0)
-        await restore_store(host, copy, way, outage_seconds)
+        await restore_store(host, copy, failure_mode, outage_seconds)
         await asyncio.sleep(STEADY_SECONDS + DRAINING_SECONDS)
         assert not host.knows("s2")
         assert host.uses("s1")
@@ -86,13 +86,15 @@
 
 @on_restores
 @on_seeds
-def test_a_draining_upstream_does_not_become_ready_by_an_older_copy(way, outage_seconds, seed):
+def test_a_draining_upstream_does_not_become_ready_by_an_older_copy(
+    failure_mode, outage_seconds, seed
+):
     async def scenario(host, store):
         copy = store.copy_contents()
         store.put("servers", "s0", DRAINING)
         await asyncio.sleep(3.0)
         assert not host.uses("s0")
-        await restore_store(host, copy, way, outage_seconds)
+        await restore_store(host, copy, failure_mode, outage_seconds)
         await watch_for(8.0, lambda: not host.uses("s0"))
         # Its next incarnation under the same name writes a new entry.
         store.put("servers", "s0", {**RECORD, "slots": 7})
@@ -105,14 +107,14 @@
 @on_restores
 @on_seeds
 def test_a_withdrawn_upstream_is_not_used_although_an_older_copy_lists_it(
-    way, outage_seconds, seed
+    failure_mode, outage_seconds, seed
 ):
     async def scenario(host, store):
         copy = store.copy_contents()
         store.remove("servers", "s0")
         await asyncio.sleep(3.0)
         assert not host.knows("s0")
-        await restore_store(host, copy, way, outage_seconds)
+        await restore_store(host, copy, failure_mode, outage_seconds)
         await watch_for(REWRITE_SECONDS, lambda: not host.uses("s0"))
         store.repeat_write("servers", "s0")
         await watch_for(8.0, lambda: not host.uses("s0"))
@@ -123,14 +125,14 @@
 @on_restores
 @on_seeds
 def test_a_live_upstream_whose_entry_expired_is_used_again_after_a_restore(
-    way, outage_seconds, seed
+    failure_mode, outage_seconds, seed
 ):
     async def scenario(host, store):
         copy = store.copy_contents()
         store.remove("servers", "s0")
         await asyncio.sleep(3.0)
         # It writes what the copy already holds, so its entry does not change.
-        await restore_store(host, copy, way, outage_seconds)
+        await restore_store(host, copy, failure_mode, outage_seconds)
         await asyncio.sleep(10.0)
         assert host.uses("s0")
 
@@ -139,14 +141,14 @@
 
 @on_restores
 @on_seeds
-def test_changes_after_a_restore_are_known_in_time(way, outage_seconds, seed):
+def test_changes_after_a_restore_are_known_in_time(failure_mode, outage_seconds, seed):
     async def scenario(host, store):
         copy = store.copy_contents()
         for number in range(40):
             store.put("others", "counter", number)
         store.put("servers", "s1", {**RECORD, "seq": 1})
         await asyncio.sleep(3.0)
-        await restore_store(host, copy, way, outage_seconds)
+        await restore_store(host, copy, failure_mode, outage_seconds)
         store.put("servers", "s0", DRAINING)
         store.put("servers", "s2", RECORD)
         await asyncio.sleep(DRAINING_SECONDS)
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -45,7 +45,7 @@
     assert MonotonicClock().now() == pytest.approx(read_boottime_seconds(), abs=5)
 
 
-def test_a_timer_is_due_after_a_suspension_that_was_longer(suspension):
+def test_a_timer_whose_delay_passes_during_a_suspension_is_due_after_it(suspension):
     async def work():
         loop = asyncio.get_running_loop()
         fired = []
--- a/tests/cover/test_usage.py
+++ b/tests/cover/test_usage.py
@@ -28,35 +28,35 @@
 from swifttrestle.internal.state.usage import UsageMeter, WindowCounts, find_window
 
 # Windows of five seconds: the end of window 10 is at 55 s.
-SECONDS, END = 5.0, 55.0
+WINDOW_SECONDS, WINDOW_END_SECONDS = 5.0, 55.0
 
 
 @pytest.mark.parametrize(
     ("at", "wanted"), [(50.0, 10), (54.999, 10), (55.0, 11), (1_767_225_600.0, 353_445_120)]
 )
 def test_windows_divide_unix_time(at, wanted):
-    assert find_window(at, SECONDS) == wanted
+    assert find_window(at, WINDOW_SECONDS) == wanted
 
 
 @pytest.mark.parametrize(
     ("counted", "written", "now", "wanted"),
     [
-        ([10], [], END, []),
+        ([10], [], WINDOW_END_SECONDS, []),
         # A window is due only after the time for late counts.
-        ([10], [], END + COLLECT_SECONDS - 0.1, []),
-        ([10], [], END + COLLECT_SECONDS, [10]),
-        ([8, 9, 10], [8], END + COLLECT_SECONDS, [9, 10]),
+        ([10], [], WINDOW_END_SECONDS + COLLECT_SECONDS - 0.1, []),
+        ([10], [], WINDOW_END_SECONDS + COLLECT_SECONDS, [10]),
+        ([8, 9, 10], [8], WINDOW_END_SECONDS + COLLECT_SECONDS, [9, 10]),
         # Windows without requests after the last report are due too.
-        ([], [8], END + COLLECT_SECONDS, [9, 10]),
-        ([], [], END + COLLECT_SECONDS, []),
+        ([], [8], WINDOW_END_SECONDS + COLLECT_SECONDS, [9, 10]),
+        ([], [], WINDOW_END_SECONDS + COLLECT_SECONDS, []),
         # The platform accepts no reports of windows that ended long ago.
-        ([1, 10], [], END + COLLECT_SECONDS, [10]),
-        ([], [1], END + REPORT_DEADLINE_SECONDS, [11, 12, 13, 14, 15]),
+        ([1, 10], [], WINDOW_END_SECONDS + COLLECT_SECONDS, [10]),
+        ([], [1], WINDOW_END_SECONDS + REPORT_DEADLINE_SECONDS, [11, 12, 13, 14, 15]),
     ],
 )
 def test_windows_are_due_after_the_time_for_late_counts(counted, written, now, wanted):
     reports = [RecordedUsage(window, {}) for window in written]
-    assert list_due_windows(counted, reports, now, SECONDS) == wanted
+    assert list_due_windows(counted, reports, now, WINDOW_SECONDS) == wanted
 
 
 def test_unacknowledged_reports_are_sent_again():
