--- a/tests/hosted/test_coordination.py
+++ b/tests/hosted/test_coordination.py
@@ -193,7 +193,7 @@
     orders = [order for u in site.upstreams.values() for order in getattr(u, "orders", ())]
     assert len(orders) == 4
     (holder,) = {order["holder"] for order in orders}
-    # The IP tells machines of the same name apart.
+    # The IP distinguishes machines of the same name.
     assert holder in {f"{name}@{site.gateways[name].settings.ip}" for name in ("g0", "g1")}
     assert all(order["fenceToken"] >= 1 and "expectedRev" in order for order in orders)
     recorded = site.store.objects["swifttrestle-leases", "roles"]["spec"]["orders"]
@@ -236,15 +236,19 @@
 @on_site(engines=("prefill", "prefill", "prefill", "decode"))
 async def test_the_last_decoding_engine_is_replaced_by_a_reachable_one(site, listed):
     await wait_until(lambda: count_roles(site, "decode") == 2, "planned roles")
-    lost = [u for u in site.upstreams.values() if getattr(u, "role", "") == "decode"]
-    dead = next(u for u in site.upstreams.values() if getattr(u, "role", "") == "prefill")
-    for upstream in [*lost, dead]:
+    stopped_decode = [u for u in site.upstreams.values() if getattr(u, "role", "") == "decode"]
+    stopped_prefill = next(
+        u for u in site.upstreams.values() if getattr(u, "role", "") == "prefill"
+    )
+    for upstream in [*stopped_decode, stopped_prefill]:
         await site.stop_upstream(upstream)
     if not listed:
-        for upstream in lost:
+        for upstream in stopped_decode:
             site.unlist_upstream(upstream)
     remaining = next(
-        u for u in site.upstreams.values() if getattr(u, "role", "") == "prefill" and u is not dead
+        u
+        for u in site.upstreams.values()
+        if getattr(u, "role", "") == "prefill" and u is not stopped_prefill
     )
 
     async def keep_asking():
--- a/tests/hosted/test_draining_and_cool_down.py
+++ b/tests/hosted/test_draining_and_cool_down.py
@@ -26,7 +26,7 @@
     "load", [PLAIN, ONCE, STREAMS, READINGS], ids=["repeatable", "once", "streams", "readings"]
 )
 LEAVING = [(b"Server-Leaving", b"1")]
-# Time after an answer that says that the upstream drains until which requests may still reach it.
+# Time after an answer with a draining header in which requests may still reach the upstream.
 DRAIN_SECONDS = 2.0
 # Cool-down that a refusal asks for, and the time after it in which sent requests may still arrive.
 COOL_DOWN_SECONDS = 3.0
--- a/tests/hosted/test_large_fleets.py
+++ b/tests/hosted/test_large_fleets.py
@@ -61,13 +61,13 @@
         site.unlist_upstream(site.upstreams["s0"])
         await wait_until(lambda: not hosts_knowing(site, "s0"), "gone at all hosts")
         await asyncio.sleep(2.0)
-        # Two hosts watch at intervals of 0.8 s, for two seconds and the start; five would make 15.
+        # Only two of the five hosts watch the list.
         assert count_watches(site) <= 8
 
 
-@pytest.mark.parametrize("way", ["watchers stopped", "datagrams lost"])
+@pytest.mark.parametrize("failure", ["watchers stopped", "datagrams lost"])
 @on_site(gateways=4)
-async def test_a_host_without_relayed_changes_reads_the_list_in_time(site, way):
+async def test_a_host_without_relayed_changes_reads_the_list_in_time(site, failure):
     async with heartbeats(site):
         await wait_for_all_hosts(site)
         await asyncio.sleep(1.0)
@@ -76,7 +76,7 @@
         others = set(site.gateways) - set(watchers)
         for name in watchers:
             running = site.gateways[name]
-            if way == "watchers stopped":
+            if failure == "watchers stopped":
                 running.task.cancel()
             else:
                 running.gateway._discovery._relay.send = lambda _: None
@@ -99,7 +99,9 @@
         site.gateways[isolated].gateway._store._call = refuse_call
         await asyncio.sleep(0.5)
         site.unlist_upstream(site.upstreams["s0"])
-        await wait_until(lambda: isolated not in hosts_knowing(site, "s0"), "gone there too")
+        await wait_until(
+            lambda: isolated not in hosts_knowing(site, "s0"), "gone at the isolated host"
+        )
 
 
 @on_site(gateways=4)
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("which", ["plain", "one representative"])
 @on_site(gateways=3)
-async def test_a_lost_host_and_no_other_is_gone_at_all_hosts(site, which):
+async def test_only_a_lost_host_is_gone_at_all_hosts(site, which):
     await add_zones(site)
     aggregators = find_aggregators(site, "hall-b")
     hosts = {name for name in site.gateways if name.startswith("hall-b")}
--- a/tests/hosted/test_slow_links.py
+++ b/tests/hosted/test_slow_links.py
@@ -1,4 +1,4 @@
-"""Configuration versions whose transfer over a slow link takes longer than a usual call."""
+"""Configuration versions whose transfer over a slow link exceeds the timeout of other calls."""
 
 import asyncio
 
@@ -10,7 +10,8 @@
 from swifttrestle_standins.pieces import cut_pieces
 from tests.hosted.sites import on_site
 
-# Number of pieces of an answer, with a pause after each: 3 s, longer than the 2 s of a usual call.
+# Number of pieces of an answer, with a pause after each. Together, the pauses exceed the
+# timeout of a call.
 PIECES = 12
 PAUSE_SECONDS = 0.25
 
@@ -70,7 +71,7 @@
 
 
 class FetchingWatcher:
-    """A configuration watcher without a version, and the versions that it received."""
+    """A configuration watcher without a version, which records the versions that it receives."""
 
     version = 0
     raw = None
--- a/tests/hosted/test_store_restores.py
+++ b/tests/hosted/test_store_restores.py
@@ -51,7 +51,7 @@
     }
 
 
-WAYS = [
+RESTORES = [
     pytest.param({"lost": 20}, id="20 writes lost"),
     pytest.param({"lost": 400}, id="400 writes lost"),
     pytest.param({"lost": 400, "cut": False}, id="connections kept"),
@@ -62,18 +62,18 @@
 ]
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("restore_options", RESTORES)
 @on_site(gateways=3)
-async def test_an_upstream_that_drains_after_a_restore_gets_no_new_work(site, way):
-    await restore_without_writes(site, **way)
+async def test_an_upstream_that_drains_after_a_restore_gets_no_new_work(site, restore_options):
+    await restore_without_writes(site, **restore_options)
     site.list_upstream(site.upstreams["s0"], "draining")
     await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("restore_options", RESTORES)
 @on_site(gateways=3)
-async def test_an_upstream_that_is_listed_after_a_restore_is_used(site, way):
-    await restore_without_writes(site, **way)
+async def test_an_upstream_that_is_listed_after_a_restore_is_used(site, restore_options):
+    await restore_without_writes(site, **restore_options)
     await site.add_upstream(StandInUpstream("s9", "alerts", "hall-a"))
     await wait_until(lambda: hosts_using(site, "s9") == set(site.gateways), "used by all hosts")
 
@@ -90,22 +90,22 @@
     await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
 
 
-@pytest.mark.parametrize("way", WAYS[1:3])
+@pytest.mark.parametrize("restore_options", RESTORES[1:3])
 @on_site(gateways=5)
 async def test_a_large_fleet_learns_of_an_upstream_that_drains_after_a_restore(
-    site, way, monkeypatch
+    site, restore_options, monkeypatch
 ):
     monkeypatch.setattr(scheduling, "SMALL_FLEET_HOSTS", 2)
-    await restore_without_writes(site, **way)
+    await restore_without_writes(site, **restore_options)
     site.list_upstream(site.upstreams["s0"], "draining")
     await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
 
 
-@pytest.mark.parametrize("named", [b"", b"-3", b"banana", b"0", b"99999999999999999999", b"7"])
+@pytest.mark.parametrize("epoch_text", [b"", b"-3", b"banana", b"0", b"99999999999999999999", b"7"])
 @on_site(gateways=2)
-async def test_an_invalid_epoch_loses_no_change(site, named):
+async def test_an_invalid_epoch_loses_no_change(site, epoch_text):
     await wait_for_revision(site)
-    site.store.faults.epoch_text = named
+    site.store.faults.epoch_text = epoch_text
     site.list_upstream(site.upstreams["s0"], "draining")
     version = site.declare()
     await wait_until(lambda: not hosts_using(site, "s0"), "withdrawn at all hosts")
