--- a/src/swifttrestle/internal/state/declared.py
+++ b/src/swifttrestle/internal/state/declared.py
@@ -35,10 +35,10 @@
 class Scaling:
     """Bounds on the number of upstreams of a service, and their prices.
 
-    `min_upstreams` and `max_upstreams` bound the upstreams of an availability zone,
-    non-reclaimable and reclaimable
-    ones together. `prices` is the price of one second of a non-reclaimable upstream, by zone; a
-    reclaimable one costs `reclaimable_price` times as much, 1 if the platform offers none.
+    `min_upstreams` and `max_upstreams` bound the upstreams of an availability zone, non-reclaimable
+    and reclaimable ones together. `prices` is the price of one second of a non-reclaimable
+    upstream, by zone. A reclaimable one costs `reclaimable_price` times as much; the factor is 1 if
+    the platform offers none.
     """
 
     min_upstreams: int
@@ -143,7 +143,7 @@
     role: Role = Role.NONE
     born: int = 0
     reclaimable: bool = False
-    # Seconds to its end, as reported when it began to leave; None if not reported.
+    # Seconds until its end, as reported when it began to drain; None if not reported.
     leaves_in: float | None = None
 
     @property
--- a/src/swifttrestle/internal/state/duties.py
+++ b/src/swifttrestle/internal/state/duties.py
@@ -8,7 +8,7 @@
 from swifttrestle.internal.checks import MAX_INT64, check_integer
 from swifttrestle.internal.state.declared import Role
 
-# Usage windows kept on the lease, newest last: four times as many as can be due at once.
+# Maximum number of usage windows kept on the lease.
 KEPT_REPORTS = 12
 
 T = TypeVar("T")
--- a/src/swifttrestle/internal/state/fleet.py
+++ b/src/swifttrestle/internal/state/fleet.py
@@ -51,6 +51,7 @@
     refused_until: float = float("-inf")
     ordered_role: Role | None = None
     role_changing_until: float = float("-inf")
+    # Whether it is no longer listed or has been replaced.
     gone: bool = False
     # Whether a later incarnation has replaced it, so that its cache is lost.
     replaced: bool = False
@@ -181,7 +182,7 @@
 
         A later incarnation discards all state of the one before, including its open work. A record
         of an earlier one is stale and ignored. An incarnation that has announced that it is
-        draining counts as such even if the list says otherwise: the store may be unavailable.
+        draining counts as such whatever its record shows, since the store may be unavailable.
         """
         if not record.leaving and self.announced_leaving(record.start):
             record = replace(record, leaving=True)
--- a/src/swifttrestle/internal/state/median_clock.py
+++ b/src/swifttrestle/internal/state/median_clock.py
@@ -1,6 +1,6 @@
 """A wall clock shared by all hosts: the median of their clocks.
 
-The wall clocks of some hosts may jump by seconds, even at the same time. Time windows that must
+The wall clocks of some hosts may jump by seconds, even simultaneously. Time windows that must
 agree on all hosts use the median of the hosts' clocks, advanced by this host's steady clock.
 """
 
@@ -10,8 +10,8 @@
 
 from swifttrestle.internal.clock import read_boottime_seconds
 
-# Seconds for which another host's reported time is used: several query intervals.
-REPORT_SECONDS = 5.0
+# Age up to which another host's reported time is used.
+MAX_REPORT_AGE_SECONDS = 5.0
 
 
 class MedianClock:
@@ -37,7 +37,9 @@
         """Return the median Unix time of the hosts."""
         now = self._read_steady()
         self._reports = {
-            host: item for host, item in self._reports.items() if now - item[1] < REPORT_SECONDS
+            host: item
+            for host, item in self._reports.items()
+            if now - item[1] < MAX_REPORT_AGE_SECONDS
         }
         offsets = [offset for offset, _ in self._reports.values()]
         return now + statistics.median([*offsets, self._read_wall() - now])
--- a/src/swifttrestle/internal/state/prefixes.py
+++ b/src/swifttrestle/internal/state/prefixes.py
@@ -31,7 +31,7 @@
         """Record a block as evicted by an engine."""
         self._blocks.get(engine, OrderedDict()).pop(block, None)
 
-    def forget(self, engine: str) -> None:
+    def drop_engine(self, engine: str) -> None:
         """Drop all entries of an engine that has restarted."""
         self._blocks.pop(engine, None)
 
--- a/src/swifttrestle/internal/state/request_fingerprints.py
+++ b/src/swifttrestle/internal/state/request_fingerprints.py
@@ -6,7 +6,7 @@
 
 from swifttrestle.internal.transport.messages import Body, RequestHead
 
-# Bytes of each half of a fingerprint: among 2^32 requests one collision of halves is expected.
+# Length of each half of a fingerprint, in bytes.
 FINGERPRINT_HALF_BYTES = 8
 
 
--- a/src/swifttrestle/internal/state/upstreams.py
+++ b/src/swifttrestle/internal/state/upstreams.py
@@ -35,7 +35,7 @@
 REFUSAL_SECONDS = 2.0
 # Time after a request for which an upstream counts as in use.
 IN_USE_SECONDS = 5.0
-# Age at which a load report is outdated.
+# Age from which a load report is outdated.
 STALE_SECONDS = 5.0
 # Bounds on samples of prefill rates, in tokens per second.
 MAX_PREFILL_RATE, MIN_PREFILL_RATE = 1e6, 10.0
@@ -246,7 +246,7 @@
             if state is None:
                 return
             if state.report and state.report.state.boot != report.state.boot:
-                self.prefixes.forget(name)
+                self.prefixes.drop_engine(name)
             state.report = report
             state.reported_at = self._clock.now()
             horizon = state.reported_at - 10 * ASSUMED_LAG_SECONDS
@@ -264,7 +264,7 @@
             return bool(recent) or state.open > 0 or not settled
 
     def note_refusal(self, name: str) -> None:
-        """Send no requests to an upstream for a while after it has refused one."""
+        """Send no requests to an upstream for `REFUSAL_SECONDS` after it has refused one."""
         with self._lock:
             if name in self._states:
                 self._states[name].refused_until = self._clock.now() + REFUSAL_SECONDS
--- a/src/swifttrestle/internal/state/usage.py
+++ b/src/swifttrestle/internal/state/usage.py
@@ -12,7 +12,7 @@
 
 Counts = dict[str, int]
 
-# Number of windows kept: all that may be due or sent again at once, with windows of 5 s.
+# Number of windows kept; covers all that may be due or resent at once, with windows of 5 s.
 KEPT_WINDOWS = 8
 
 
@@ -76,8 +76,8 @@
     def sum_with_draft(self, window: int, draft: UsageDraft | None) -> Counts:
         """Return a window's counts, completed from a draft for hosts that have ended since.
 
-        The current counts of a live host include what the draft holds of it. If some sources of
-        the draft are gone, the higher one of the two sums is closer to the true count.
+        The current counts of a live host include its counts in the draft. If some sources of the
+        draft have ended, the higher one of the two sums is closer to the true count.
         """
         if draft is None:
             return self.sum(window)
