--- a/src/swifttrestle/internal/protocol/calls.py
+++ b/src/swifttrestle/internal/protocol/calls.py
@@ -187,7 +187,7 @@
 
 
 def _raise_refusal(status: int, headers: Any, body: bytes) -> None:
-    """Raise the error for a response of another status than 200."""
+    """Raise the error of a response whose status is not 200."""
     try:
         reason = str(orjson.loads(body).get("reason", ""))
     except (orjson.JSONDecodeError, AttributeError):
--- a/src/swifttrestle/internal/protocol/engine.py
+++ b/src/swifttrestle/internal/protocol/engine.py
@@ -15,7 +15,7 @@
 from swifttrestle.errors import StaleTokenError, UpstreamBrokenError
 from swifttrestle.internal.transport.http import make_client
 
-CONTROL_SECONDS = 2.0
+CONTROL_TIMEOUT_SECONDS = 2.0
 STATUS_OK, STATUS_CONFLICT = 200, 409
 
 
@@ -95,7 +95,7 @@
     def __init__(self, address: str, client: urllib3.PoolManager | None = None) -> None:
         """Connect to the engine at HOST:PORT."""
         self._base = f"http://{address}"
-        self._client = client or make_client(CONTROL_SECONDS)
+        self._client = client or make_client(CONTROL_TIMEOUT_SECONDS)
 
     def read_state(self) -> EngineState:
         """Return the engine's current state; raise UpstreamBrokenError."""
--- a/src/swifttrestle/internal/protocol/permits.py
+++ b/src/swifttrestle/internal/protocol/permits.py
@@ -29,7 +29,7 @@
 class PermitRequest:
     """Asks for a permit for one request to an upstream's incarnation, which `start` names.
 
-    `number` identifies the query for its sender.
+    `number` identifies the request among those of its sender.
     """
 
     number: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class PermitReply:
-    """Grants a permit if `seconds` is 0; otherwise the receiver may ask again after that time.
+    """Grants a permit if `seconds` is 0; otherwise the receiver may retry after that time.
 
     `rate_limit` is the latest one known to the sender.
     """
--- a/src/swifttrestle/internal/protocol/platform.py
+++ b/src/swifttrestle/internal/protocol/platform.py
@@ -24,8 +24,8 @@
 )
 from swifttrestle.internal.transport.http import make_client
 
-CALL_SECONDS = 5.0
-WATCH_SILENCE_SECONDS = 10.0
+CALL_TIMEOUT_SECONDS = 5.0
+WATCH_READ_TIMEOUT_SECONDS = 10.0
 # Largest accepted watch event or error body, in bytes.
 MAX_LINE_BYTES = 2_000_000
 STATUS_OK, STATUS_NOT_FOUND, STATUS_CONFLICT, STATUS_GONE, STATUS_LIMIT = 200, 404, 409, 410, 429
@@ -108,7 +108,7 @@
         self._headers = {"User-Agent": client_name}
         if key:
             self._headers["Authorization"] = f"Bearer {key}"
-        self._client = make_client(CALL_SECONDS)
+        self._client = make_client(CALL_TIMEOUT_SECONDS)
 
     def list(self, kind: str) -> Listing:
         """Return all objects of a kind."""
@@ -142,7 +142,7 @@
     def watch(self, kinds: tuple[str, ...], since: int) -> Iterator[WatchEvent]:
         """Yield changes after a version; raise NotFoundError if it is too old."""
         url = f"{self._base}/watch?kinds={','.join(kinds)}&since={since}"
-        timeout = urllib3.Timeout(connect=2.0, read=WATCH_SILENCE_SECONDS)
+        timeout = urllib3.Timeout(connect=2.0, read=WATCH_READ_TIMEOUT_SECONDS)
         try:
             response = self._client.request(
                 "GET", url, headers=self._headers, preload_content=False, timeout=timeout
--- a/src/swifttrestle/internal/protocol/quarantine.py
+++ b/src/swifttrestle/internal/protocol/quarantine.py
@@ -18,7 +18,7 @@
     RequestFingerprint,
 )
 
-# Records per datagram; one with four crashes and usual names takes about 170 bytes.
+# Records per datagram; one with four crashes and usual names fits 172 bytes.
 RECORDS_PER_DATAGRAM = MAX_DATAGRAM_BYTES // 172
 # Maximum number of crashes accepted per record. Hosts keep fewer, but later versions may keep more.
 MAX_CRASHES = 16
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Clearance:
-    """Reports that a request got its own response, at the event loop's time `at`."""
+    """Reports that a request got a response at the event loop's time `at`."""
 
     name: RequestFingerprint
     at: float
