--- a/src/swifttrestle/internal/transport/caller.py
+++ b/src/swifttrestle/internal/transport/caller.py
@@ -51,7 +51,7 @@
 
     @abstractmethod
     async def send(self, data: bytes) -> None:
-        """Send bytes of the body; waits while the caller does not read."""
+        """Send bytes of the body; wait while the caller does not read."""
 
     @abstractmethod
     async def end(self) -> None:
@@ -242,7 +242,7 @@
         self._write(write_response_head(status, headers, self._framing, length, self._keep_alive))
 
     async def send(self, data: bytes) -> None:
-        """Send bytes of the body; waits while the caller does not read."""
+        """Send bytes of the body; wait while the caller does not read."""
         if not data:
             return
         await self._writable.wait()
@@ -375,4 +375,4 @@
 
 
 class _RefusedError(Exception):
-    """Stops the parser; the connection holds the status."""
+    """Stops the parser; the connection stores the status."""
--- a/src/swifttrestle/internal/transport/messages.py
+++ b/src/swifttrestle/internal/transport/messages.py
@@ -144,7 +144,7 @@
                 break
             self._changed.clear()
             if byte_seconds is None:
-                # An `asyncio.timeout` of None would cost much more than the wait itself.
+                # `asyncio.timeout(None)` would add overhead to each wait.
                 await self._changed.wait()
             else:
                 await self._wait_for_more(byte_seconds)
@@ -200,7 +200,7 @@
     status: int, headers: Sequence[Header], framing: Framing, length: int, keep_alive: bool
 ) -> bytes:
     """Return the bytes of a response's head."""
-    lines = [f"HTTP/1.1 {status} {name_status(status)}".encode()]
+    lines = [f"HTTP/1.1 {status} {find_reason_phrase(status)}".encode()]
     lines += [name + b": " + value for name, value in headers]
     lines += _write_framing(framing, length)
     if not keep_alive:
@@ -216,7 +216,7 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def name_status(status: int) -> str:
+def find_reason_phrase(status: int) -> str:
     """Return the standard reason phrase of a status."""
     try:
         return HTTPStatus(status).phrase
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -15,7 +15,7 @@
 
 # Connection timeout, shorter than TCP's first SYN retransmission, so that another upstream is tried
 # instead.
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 # TCP keepalive: idle time before the first probe and between probes, and the number of probes
 # without a response after which the kernel breaks the connection. A silent connection ends within
 # three seconds.
@@ -143,7 +143,7 @@
     async def _connect(self, address: Address) -> UpstreamConnection:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 transport, protocol = await loop.create_connection(UpstreamConnection, *address)
         except (OSError, TimeoutError) as error:
             raise UpstreamUnreachedError(
--- a/src/swifttrestle/internal/transport/streams.py
+++ b/src/swifttrestle/internal/transport/streams.py
@@ -20,9 +20,9 @@
 NONCE_BYTES = 16
 PROOF_BYTES = 32
 MAX_FRAME_BYTES = 4_000_000
-CONNECT_SECONDS = 2.0
-HANDSHAKE_SECONDS = 3.0
-SEND_SECONDS = 5.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+HANDSHAKE_TIMEOUT_SECONDS = 3.0
+SEND_TIMEOUT_SECONDS = 5.0
 _LENGTH = struct.Struct("!I")
 
 
@@ -37,7 +37,7 @@
         self.received_bytes = 0
         sock.settimeout(silence_seconds)
         # Limits the time for which a peer that does not read can block the sender.
-        timeout = struct.pack("ll", int(SEND_SECONDS), 0)
+        timeout = struct.pack("ll", int(SEND_TIMEOUT_SECONDS), 0)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeout)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -79,9 +79,9 @@
 
 def connect_stream(address: tuple[str, int], secret: str, silence_seconds: float) -> PeerStream:
     """Connect to a peer with mutual authentication; raise PeerUnknownError."""
-    sock = socket.create_connection(address, CONNECT_SECONDS)
+    sock = socket.create_connection(address, CONNECT_TIMEOUT_SECONDS)
     try:
-        sock.settimeout(HANDSHAKE_SECONDS)
+        sock.settimeout(HANDSHAKE_TIMEOUT_SECONDS)
         own_nonce = os.urandom(NONCE_BYTES)
         sock.sendall(MAGIC + own_nonce)
         peer_nonce = _read_exactly(sock, NONCE_BYTES)
@@ -98,7 +98,7 @@
 def accept_stream(sock: socket.socket, secret: str, silence_seconds: float) -> PeerStream:
     """Accept a connection with mutual authentication; raise PeerUnknownError."""
     try:
-        sock.settimeout(HANDSHAKE_SECONDS)
+        sock.settimeout(HANDSHAKE_TIMEOUT_SECONDS)
         opening = _read_exactly(sock, len(MAGIC) + NONCE_BYTES)
         if not opening.startswith(MAGIC):
             raise PeerUnknownError(f"dialer uses another protocol: {opening[: len(MAGIC)]!r}")
--- a/src/swifttrestle/internal/transport/upstream.py
+++ b/src/swifttrestle/internal/transport/upstream.py
@@ -81,7 +81,7 @@
             self._fail(UpstreamBrokenError(f"response malformed: {error}", sent=True))
 
     def eof_received(self) -> bool:
-        """Complete a response that ends with the connection; any other one fails."""
+        """Complete a response that ends with the connection; fail any other one."""
         if self._response is not None and self._response.framing is Framing.CLOSE and self._body:
             self._body.end()
             self.reusable = False
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -45,7 +45,7 @@
 
 FIRST_BACKOFF_SECONDS = find_max_backoff(discovery.FIRST_BACKOFF_SECONDS)
 MAX_BACKOFF_SECONDS = find_max_backoff(discovery.MAX_BACKOFF_SECONDS)
-LIST_SECONDS = pool.CONNECT_SECONDS + SLOW_STORE_SECONDS
+LIST_SECONDS = pool.CONNECT_TIMEOUT_SECONDS + SLOW_STORE_SECONDS
 HEARTBEAT_SECONDS = gossip.HEARTBEAT_SECONDS * 1.1
 # A host notices a recovered store by: its last failed call, its backoff and its next call.
 NOTICE_SECONDS = store.READ_TIMEOUT_SECONDS + MAX_BACKOFF_SECONDS + LIST_SECONDS
@@ -183,10 +183,10 @@
     ),
     # A connection that is being established when the signal arrives still gets a request.
     "leaving, by its answers: a connection comes up": (
-        pool.CONNECT_SECONDS,
+        pool.CONNECT_TIMEOUT_SECONDS,
         LEAVING_SECONDS["small"],
     ),
-    "rest: a connection comes up": (pool.CONNECT_SECONDS, IN_FLIGHT_SECONDS),
+    "rest: a connection comes up": (pool.CONNECT_TIMEOUT_SECONDS, IN_FLIGHT_SECONDS),
     "kept back: nothing": (CRASH_DETECTION_SECONDS + DATAGRAM_SECONDS, QUARANTINE_SECONDS),
     "kept back, by keepers: nothing": (
         CRASH_DETECTION_SECONDS + 2 * DATAGRAM_SECONDS,
