--- a/src/swifttrestle/internal/entry/admission_queue.py
+++ b/src/swifttrestle/internal/entry/admission_queue.py
@@ -52,7 +52,6 @@
     """The waiting requests of one entry, in one queue per group of upstreams."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
         self._clock = clock
         self._changed = threading.Condition()
         self._entries: dict[str, list[QueueEntry]] = {}
--- a/src/swifttrestle/internal/entry/crash_guard.py
+++ b/src/swifttrestle/internal/entry/crash_guard.py
@@ -1,7 +1,7 @@
 """Quarantines requests that crash upstreams, at one entry.
 
 The policy is that of the gateways. The state is local to the entry: each entry counts crashes on
-its own, and starts anew after a restart.
+its own, and loses its counts when it restarts.
 """
 
 import socket
--- a/src/swifttrestle/internal/entry/handler.py
+++ b/src/swifttrestle/internal/entry/handler.py
@@ -372,7 +372,7 @@
     # A request occupies a worker thread until it has its first token.
 
     def acquire_thread(self, priority: str) -> None:
-        """Count a waiting thread; refuse if too few would be left for more urgent requests."""
+        """Count a waiting thread; raise RefusedError if too few are left for urgent ones."""
         limit = self._threads - RESERVED_THREADS
         if priority != URGENT:
             limit = int(self._threads * NON_URGENT_THREAD_SHARE)
@@ -382,7 +382,7 @@
             self._waiting_threads += 1
 
     def release_thread(self) -> None:
-        """Count one waiting thread fewer."""
+        """Decrement the number of waiting threads."""
         with self._lock:
             self._waiting_threads -= 1
 
@@ -414,4 +414,4 @@
 def _refuse_after_attempts(error: UpstreamError) -> RefusedError:
     """Return the refusal of a request whose last attempt failed."""
     code = Code.OVERLOADED if isinstance(error, UpstreamBusyError) else Code.UPSTREAM_REFUSED
-    return RefusedError(code, f"the last attempt was refused: {error}", error.retry_after or 1.0)
+    return RefusedError(code, f"the last attempt failed: {error}", error.retry_after or 1.0)
--- a/src/swifttrestle/internal/entry/relay.py
+++ b/src/swifttrestle/internal/entry/relay.py
@@ -1,6 +1,6 @@
-"""Relays a completion to its caller, from as many engines as it takes.
+"""Relays a completion to its caller, and resumes it on another engine after a failure.
 
-`StreamRelay` moves the bytes. When an engine disconnects, stalls or sends data of another attempt,
+`StreamRelay` runs the streams. When an engine disconnects, stalls or sends data of another attempt,
 `Relay` requests the tokens from the next offset on from another engine with the same model version,
 and the caller's response continues without a gap.
 """
--- a/src/swifttrestle/internal/entry/responses.py
+++ b/src/swifttrestle/internal/entry/responses.py
@@ -1,4 +1,4 @@
-"""Writes a response to a caller's socket that the HTTP server has handed over."""
+"""Writes a response to a caller's socket that was detached from the HTTP server."""
 
 import contextlib
 import math
@@ -59,7 +59,7 @@
         self._unsent = b""
 
     def write(self, events: bytes) -> Generator[WaitFor, None, None]:
-        """Write checked events to a stream, or buffer them; yields while the socket is full."""
+        """Write checked events to a stream, or buffer them; yield while the socket is full."""
         if not self._stream:
             self._buffered.append(events)
             return
