--- a/tests/cover/test_entry_guard.py
+++ b/tests/cover/test_entry_guard.py
@@ -14,7 +14,7 @@
 from tests.common.fakes import FakeClock
 
 FINGERPRINT = make_fingerprint("w1", "/v1/chat/completions", b"{}")
-BROKEN = UpstreamBrokenError("broken off", sent=True)
+BROKEN = UpstreamBrokenError("connection lost", sent=True)
 
 
 @pytest.fixture
--- a/tests/cover/test_store_epochs.py
+++ b/tests/cover/test_store_epochs.py
@@ -41,7 +41,7 @@
         ([(4, 0.0), (5, 1.0), (4, 1.1), (5, 1.2)], 5, 1, [2]),
         # Two stores of different epochs that respond alternately.
         ([(5, 0.0), (4, 1.0), (5, 2.0), (4, 4.5), (5, 5.0)], 5, 0, [1, 3]),
-        # A store that was set up anew.
+        # A store that was recreated with a lower epoch.
         ([(5, 0.0), (1, 1.0), (1, 2.0), (1, 1.0 + LOWER_EPOCH_SECONDS)], 1, 1, [1, 2]),
     ],
 )
--- a/tests/hosted/test_upstreams.py
+++ b/tests/hosted/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: strict parsing of responses, and bytes after or resets during them."""
+"""Connections to upstreams: strict parsing, surplus bytes after responses and resets."""
 
 import asyncio
 import socket
--- a/tests/nocover/test_idempotency.py
+++ b/tests/nocover/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Repeated calls under one request id that must not run twice, to the same or another entry."""
+"""Calls that must not run twice, repeated with their request id at the same or another entry."""
 
 import pytest
 import yaml
--- a/tests/nocover/test_stopping.py
+++ b/tests/nocover/test_stopping.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-WAIT_SECONDS = 20
+TIMEOUT_SECONDS = 20
 PROGRAM = """
 import signal, threading
 from swifttrestle.internal.stopping import catch_stop_signals, wait_until_stopped
@@ -28,5 +28,5 @@
 def test_a_signal_that_is_delivered_to_any_thread_stops_the_process(signal_name):
     # A main thread that waits without a timeout is not woken by a signal to another thread.
     program = PROGRAM.format(signal_name=signal_name)
-    done = subprocess.run([sys.executable, "-c", program], timeout=WAIT_SECONDS, check=False)
+    done = subprocess.run([sys.executable, "-c", program], timeout=TIMEOUT_SECONDS, check=False)
     assert done.returncode == 0
