--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -26,9 +26,9 @@
 SLOW_STORE_SECONDS = 0.4
 DATAGRAM_SECONDS = 0.1
 # Promised bounds in seconds, for fleets of up to 16 hosts ("small") and larger ones: until a
-# leaving instance gets no more work, until a version is in force, and the time for which the store
+# draining instance gets no more work, until a version is in force, and the time for which the store
 # and the network must have worked before.
-LEAVING_SECONDS = {"small": 2.0, "large": 3.0}
+DRAINING_SECONDS = {"small": 2.0, "large": 3.0}
 IN_FORCE_SECONDS = {"small": 2.0, "large": 3.0}
 STEADY_SECONDS = {"small": 3.0, "large": 4.0}
 # Seconds for which requests may still arrive after a refusal with Retry-After.
@@ -53,9 +53,10 @@
 # A host that lost a connection finds that the upstream's address refuses connections.
 CRASH_DETECTION_SECONDS = crash_detection.PROBE_DELAY_SECONDS + DATAGRAM_SECONDS
 PUSH_SECONDS = quarantine_relay.PUSH_SECONDS
-# The bound until a revoked key is refused, and the longest intervals between confirmations.
+# The bound until a revoked key is refused, the age of a confirmation beyond which all keys are
+# refused, and the longest intervals between confirmations.
 KEYS_BOUND_SECONDS = 5.0
-KEYS_SECONDS = KEYS_BOUND_SECONDS - revocation.CLOCK_MARGIN_SECONDS
+MAX_CONFIRMATION_AGE_SECONDS = KEYS_BOUND_SECONDS - revocation.CLOCK_MARGIN_SECONDS
 MAX_JITTER_FACTOR = 1 + freshness_monitor.JITTER_SHARE / 2
 READ_INTERVAL_SECONDS = (
     KEYS_BOUND_SECONDS * freshness_monitor.READ_INTERVAL_SHARE * MAX_JITTER_FACTOR
@@ -73,53 +74,56 @@
 
 
 # By promise and fault: seconds until all hosts act on a change, and the promised bound. The keys
-# are those of the table in docs/INVARIANTS.md.
+# are the first column of the table in docs/INVARIANTS.md, which explains them.
 SUMS = {
-    "leaving: nothing": (
+    "draining: nothing": (
         discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE_SECONDS,
-        LEAVING_SECONDS["small"],
+        DRAINING_SECONDS["small"],
     ),
-    "leaving: the watch is reset": (FIRST_BACKOFF_SECONDS + LIST_SECONDS, LEAVING_SECONDS["small"]),
-    "leaving: connections fall silent": (
+    "draining: the watch is reset": (
+        FIRST_BACKOFF_SECONDS + LIST_SECONDS,
+        DRAINING_SECONDS["small"],
+    ),
+    "draining: connections become silent": (
         # All idle connections are dropped with the first silent one, and one list call follows.
         SILENT_WATCH_SECONDS + FIRST_BACKOFF_SECONDS + SLOW_STORE_SECONDS,
         STEADY_SECONDS["small"],
     ),
-    "leaving: a host's path was cut, peers kept theirs": (
+    "draining: the store was unreachable for one host": (
         NOTICE_SECONDS + removals.POLL_SECONDS,
         STEADY_SECONDS["small"],
     ),
-    "leaving: the store was away for all": (
+    "draining: the store was unreachable for all hosts": (
         NOTICE_SECONDS + REMOVAL_HOLD_SECONDS,
-        STEADY_SECONDS["small"] + LEAVING_SECONDS["small"],
+        STEADY_SECONDS["small"] + DRAINING_SECONDS["small"],
     ),
-    "leaving: the store has forgotten its history": (
+    "draining: the store has discarded its history": (
         discovery.MIN_CALL_INTERVAL_SECONDS / 2 + LIST_SECONDS,
-        LEAVING_SECONDS["small"],
+        DRAINING_SECONDS["small"],
     ),
-    "leaving: the store came back from a copy": (
+    "draining: the store was restored": (
         FIRST_BACKOFF_SECONDS + LIST_SECONDS,
-        LEAVING_SECONDS["small"],
+        DRAINING_SECONDS["small"],
     ),
-    "leaving: the store came back from a copy, and connections were kept": (
+    "draining: the store was restored, and connections stayed open": (
         # The earlier watch ends without an event.
         discovery.WATCH_SECONDS + 2 * SLOW_STORE_SECONDS,
         STEADY_SECONDS["small"],
     ),
-    "leaving, by a teller: nothing": (
+    "draining, relayed: nothing": (
         discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE_SECONDS + DATAGRAM_SECONDS,
-        LEAVING_SECONDS["large"],
+        DRAINING_SECONDS["large"],
     ),
-    "leaving, by a teller: its datagram is lost": (
+    "draining, relayed: a datagram is lost": (
         # The next datagram repeats its changes.
         2 * (discovery.MIN_CALL_INTERVAL_SECONDS + SLOW_STORE_SECONDS) + DATAGRAM_SECONDS,
-        LEAVING_SECONDS["large"],
+        DRAINING_SECONDS["large"],
     ),
-    "leaving, by a teller: both are gone": (
+    "draining, relayed: both relaying hosts have failed": (
         discovery.RELAY_TIMEOUT_SECONDS + LIST_SECONDS + DATAGRAM_SECONDS,
-        LEAVING_SECONDS["large"],
+        DRAINING_SECONDS["large"],
     ),
-    "leaving, by a teller: connections fall silent": (
+    "draining, relayed: connections become silent": (
         discovery.MIN_CALL_INTERVAL_SECONDS
         + discovery.RELAYING_WATCH_SECONDS
         + store.WATCH_MARGIN_SECONDS
@@ -128,31 +132,31 @@
         + DATAGRAM_SECONDS,
         STEADY_SECONDS["large"],
     ),
-    "leaving, by a teller: the store was away for all": (
+    "draining, relayed: the store was unreachable for all hosts": (
         NOTICE_SECONDS + REMOVAL_HOLD_SECONDS + DATAGRAM_SECONDS,
-        STEADY_SECONDS["large"] + LEAVING_SECONDS["large"],
+        STEADY_SECONDS["large"] + DRAINING_SECONDS["large"],
     ),
-    "leaving, by a teller: the store came back from a copy": (
+    "draining, relayed: the store was restored": (
         FIRST_BACKOFF_SECONDS
         + LIST_SECONDS
         + DATAGRAM_SECONDS
         + discovery.RESTORE_SPREAD_SECONDS
         + LIST_SECONDS,
-        LEAVING_SECONDS["large"],
+        DRAINING_SECONDS["large"],
     ),
-    "leaving, by a teller: the same, and connections were kept": (
+    "draining, relayed: the store was restored, and connections stayed open": (
         discovery.MIN_CALL_INTERVAL_SECONDS
         + 2 * SLOW_STORE_SECONDS
         + DATAGRAM_SECONDS
         + discovery.RESTORE_SPREAD_SECONDS
         + LIST_SECONDS,
-        LEAVING_SECONDS["large"],
+        DRAINING_SECONDS["large"],
     ),
-    "in force: the store came back from a copy": (
+    "in force: the store was restored": (
         FIRST_BACKOFF_SECONDS + LIST_SECONDS,
         IN_FORCE_SECONDS["small"],
     ),
-    "in force: the same, and connections were kept": (
+    "in force: the store was restored, and connections stayed open": (
         # The watch of the list ends first and reveals the restore.
         discovery.WATCH_SECONDS
         + SLOW_STORE_SECONDS
@@ -169,7 +173,7 @@
         HEARTBEAT_SECONDS + DATAGRAM_SECONDS + exchange.CONFIG_WAIT_SECONDS + DATAGRAM_SECONDS,
         IN_FORCE_SECONDS["small"],
     ),
-    "in force, large version on a thin link: from a peer": (
+    "in force, large version on a slow link: a peer has it": (
         SLOW_STORE_SECONDS
         + gossip.LARGE_REPORT_SECONDS
         + DATAGRAM_SECONDS
@@ -177,54 +181,57 @@
         + read_over_slow_link(COPY_BYTES),
         IN_FORCE_SECONDS["large"],
     ),
-    "in force, large version on a thin link: no peer has it": (
+    "in force, large version on a slow link: no peer has it": (
         SLOW_STORE_SECONDS + read_over_slow_link(VERSION_BYTES),
         IN_FORCE_SECONDS["large"],
     ),
     # A connection that is being established when the signal arrives still gets a request.
-    "leaving, by its answers: a connection comes up": (
+    "draining, by its responses: a connection is being established": (
+        pool.CONNECT_TIMEOUT_SECONDS,
+        DRAINING_SECONDS["small"],
+    ),
+    "cool-down: a connection is being established": (
         pool.CONNECT_TIMEOUT_SECONDS,
-        LEAVING_SECONDS["small"],
+        IN_FLIGHT_SECONDS,
     ),
-    "rest: a connection comes up": (pool.CONNECT_TIMEOUT_SECONDS, IN_FLIGHT_SECONDS),
-    "kept back: nothing": (CRASH_DETECTION_SECONDS + DATAGRAM_SECONDS, QUARANTINE_SECONDS),
-    "kept back, by keepers: nothing": (
+    "quarantine: nothing": (CRASH_DETECTION_SECONDS + DATAGRAM_SECONDS, QUARANTINE_SECONDS),
+    "quarantine, by record owners: nothing": (
         CRASH_DETECTION_SECONDS + 2 * DATAGRAM_SECONDS,
         QUARANTINE_SECONDS,
     ),
-    "kept back: all words of a crash but the last are lost": (
+    "quarantine: all reports of a crash but the last are lost": (
         CRASH_DETECTION_SECONDS
         + quarantine_relay.CRASH_REPEATS * PUSH_SECONDS
         + 2 * DATAGRAM_SECONDS,
         QUARANTINE_SECONDS,
     ),
-    "kept back: a host was cut off": (
+    "quarantine: a host was disconnected": (
         # Its peers receive its heartbeats again, and it requests crash records with the next one.
         HEARTBEAT_SECONDS + DATAGRAM_SECONDS + PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
         QUARANTINE_SECONDS,
     ),
-    "kept back: a host slept, or has started": (
+    "quarantine: a host was suspended or has started": (
         PUSH_SECONDS + 2 * DATAGRAM_SECONDS,
         QUARANTINE_SECONDS,
     ),
     # The highest age of the confirmation of a version; beyond the bound, keys are refused.
     "keys: nothing": (
         READ_INTERVAL_SECONDS + SLOW_STORE_SECONDS + QUERY_INTERVAL_SECONDS + QUERY_SECONDS,
-        KEYS_SECONDS,
+        MAX_CONFIRMATION_AGE_SECONDS,
     ),
-    "keys: a question is lost": (
+    "keys: a query is lost": (
         READ_INTERVAL_SECONDS + SLOW_STORE_SECONDS + 2 * QUERY_INTERVAL_SECONDS + QUERY_SECONDS,
-        KEYS_SECONDS,
+        MAX_CONFIRMATION_AGE_SECONDS,
     ),
-    "keys: both readers of a zone are gone": (
+    "keys: both readers of a zone have failed": (
         WIDENED_SECONDS + QUERY_INTERVAL_SECONDS + QUERY_SECONDS,
-        KEYS_SECONDS,
+        MAX_CONFIRMATION_AGE_SECONDS,
     ),
-    "keys: the store was away for two seconds": (
+    "keys: the store was unreachable for two seconds": (
         READ_INTERVAL_SECONDS + SLOW_STORE_SECONDS + QUERY_INTERVAL_SECONDS + QUERY_SECONDS + 2.0,
-        KEYS_SECONDS,
+        MAX_CONFIRMATION_AGE_SECONDS,
     ),
-    "in force, by dated words: they stop": (
+    "in force, by confirmations: they stop": (
         WIDENED_SECONDS + configuration.FOLLOW_POLL_SECONDS + LIST_SECONDS,
         IN_FORCE_SECONDS["large"],
     ),
@@ -242,7 +249,8 @@
     page = (Path(__file__).parents[2] / "docs" / "INVARIANTS.md").read_text()
     rows = dict(
         re.findall(
-            r"^\| ((?:leaving|in force|rest|kept back|keys)[^|]*?) \|.*\| ([0-9.]+ of [0-9.]+) \|$",
+            r"^\| ((?:draining|in force|cool-down|quarantine|keys)[^|]*?) \|.*"
+            r"\| ([0-9.]+ of [0-9.]+) \|$",
             page,
             re.M,
         )
