--- a/src/swifttrestle/gateway.py
+++ b/src/swifttrestle/gateway.py
@@ -184,7 +184,7 @@
             rng.getrandbits(NUMBER_BITS),
         )
         self._state.guard.request_trial = permits.request_trial
-        self._state.conditions.on_room = self._serve_queues
+        self._state.conditions.on_capacity = self._serve_queues
         self._prompt_cache_loader = PromptCacheLoader(
             settings.zone, self._fleet, self._state.pool, self._booker.schedules_engines, rng
         )
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -41,7 +41,7 @@
 REPORT_SECONDS = 0.01
 REPORT_SECONDS_PER_PEER = 0.002
 # Poll interval in seconds for changes to report, on hosts of a large fleet that are not schedulers.
-LARGE_REPORT_SECONDS = 0.1
+LARGE_FLEET_REPORT_SECONDS = 0.1
 # Seconds after the start in which contacted peers answer, and for which their reports of the
 # newest version count. Exceeds the maximum interval between heartbeats.
 DISCOVERY_SECONDS = 0.65
@@ -190,7 +190,7 @@
     def _find_interval(self) -> float:
         """Return the seconds until the next poll for changes to report."""
         if self.recipients.is_large_fleet() and not self.recipients.schedules:
-            return LARGE_REPORT_SECONDS
+            return LARGE_FLEET_REPORT_SECONDS
         schedules = self.recipients.schedules
         recipients = self.recipients.count_schedulers() if schedules else len(self._peers.peers)
         return REPORT_SECONDS + REPORT_SECONDS_PER_PEER * recipients
@@ -345,7 +345,7 @@
         """Handle the parts of an aggregator's summary that are not about live hosts."""
         now = self._now()
         member = Member(summary.host, ip, summary.zone, summary.link_mbps)
-        holds = summary.role_holder == summary.host
+        holds = summary.duty_lease_holder == summary.host
         heartbeat = Heartbeat(
             member,
             summary.incarnation,
@@ -353,7 +353,7 @@
             store_unreachable=summary.store_unreachable,
         )
         self._record_heartbeat(heartbeat)
-        for holder in self.recipients.list_named([summary.role_holder]):
+        for holder in self.recipients.list_named([summary.duty_lease_holder]):
             holder.held_duty_lease_at = now
         if summary.zone == self._me.zone and self.recipients.is_representative():
             self._demand.drop_zone(summary.zone)
--- a/src/swifttrestle/internal/forward/booking.py
+++ b/src/swifttrestle/internal/forward/booking.py
@@ -59,7 +59,7 @@
         started_at = _now()
         queue_key = request.service, self._finder.is_short(request)
         queue = self._queues[queue_key]
-        longest_wait = max(0.0, min(request.longest_wait, request.left))
+        longest_wait = max(0.0, min(request.longest_wait, request.remaining_seconds))
         waiting = len(queue)
         requests_ahead = queue.count_before(request.priority, started_at + longest_wait)
         if (
@@ -84,7 +84,7 @@
         self, queue_key: tuple[str, bool], request: BookingRequest, started_at: float
     ) -> Booking | None:
         """Wait for capacity that requests in time do not need; return None if it comes too late."""
-        longest_wait = min(request.max_wait, request.left) - (_now() - started_at)
+        longest_wait = min(request.max_wait, request.remaining_seconds) - (_now() - started_at)
         queue = self._late_queues[queue_key]
         if (
             longest_wait <= 0
@@ -123,7 +123,7 @@
                         booking.tokens_ahead, seconds - booking.fetch_seconds
                     )
             else:
-                booking.reader.cache.forget(booking.unread)
+                booking.reader.cache.drop(booking.unread)
             self._release(booking.reader, OpenWork(booking.tokens, 0 if booking.direct else 1))
         else:
             if outcome is Outcome.DONE and not booking.direct:
--- a/src/swifttrestle/internal/forward/conditions.py
+++ b/src/swifttrestle/internal/forward/conditions.py
@@ -44,7 +44,7 @@
         # Called with an instance when an answer states that it is draining.
         self.announce_leaving: Callable[[str], None] = do_nothing
         # Called when an upstream may accept requests again.
-        self.on_room: Callable[[], None] = do_nothing
+        self.on_capacity: Callable[[], None] = do_nothing
 
     # Queries.
 
@@ -96,7 +96,7 @@
         if backpressure.cool_down != 0.0:
             self._record_cool_down(start, backpressure.cool_down)
         elif start in self._conditions and self._conditions[start].note_accepted(sent_at):
-            self.on_room()
+            self.on_capacity()
 
     def is_leaving(self, start: str) -> bool:
         """Return whether an instance is draining; that is final."""
@@ -124,7 +124,7 @@
             return False
         condition.lift_denials()
         log_event("upstream limit", instance=start, rate=rate_limit.rate, source=source)
-        self.on_room()
+        self.on_capacity()
         return True
 
     def deny(self, start: str, seconds: float, urgent: bool) -> None:
@@ -132,7 +132,7 @@
         now = _now()
         self._conditions[start].deny(now + seconds, urgent)
         self._metrics.count("upstream_limit_denials_total")
-        asyncio.get_running_loop().call_at(now + seconds, self.on_room)
+        asyncio.get_running_loop().call_at(now + seconds, self.on_capacity)
 
     def note_sent(self, instance: Instance) -> None:
         """Record that a request is sent to an upstream."""
@@ -203,7 +203,7 @@
         )
         # Requests sent during the cool-down would be refused and use up the retry budget.
         condition.start_cool_down(now + cool_down)
-        asyncio.get_running_loop().call_at(condition.cool_down_until, self.on_room)
+        asyncio.get_running_loop().call_at(condition.cool_down_until, self.on_capacity)
 
 
 def _differ_significantly(rate: float | None, other: float | None) -> bool:
--- a/src/swifttrestle/internal/forward/crash_detection.py
+++ b/src/swifttrestle/internal/forward/crash_detection.py
@@ -139,7 +139,7 @@
             ]
         if instance.gone:
             # No more requests are sent to this instance, even if its address accepts connections.
-            self._pool.forget(instance.name)
+            self._pool.close_idle_connections(instance.name)
 
     def _report_crash(
         self,
--- a/src/swifttrestle/internal/forward/engine_finder.py
+++ b/src/swifttrestle/internal/forward/engine_finder.py
@@ -43,7 +43,7 @@
             return self._book(decoder, decoder, request, plan)
         longest_wait = max(0.0, request.max_prefill_wait - waited)
         if request.late:
-            longest_wait = (request.left - waited) * RETRY_WAIT_SHARE
+            longest_wait = (request.remaining_seconds - waited) * RETRY_WAIT_SHARE
         request = replace(request, latest_read=request.latest_read - waited)
         reader = self._pick_prefill_engine(request, engines, longest_wait, plan)
         if reader is None:
--- a/src/swifttrestle/internal/forward/engines.py
+++ b/src/swifttrestle/internal/forward/engines.py
@@ -115,7 +115,7 @@
             affinity=find_affinity(ctx),
             priority=ctx.priority,
             urgent=ctx.urgent,
-            left=ctx.seconds_left,
+            remaining_seconds=ctx.seconds_left,
             longest_wait=max(0.0, min(longest_wait, ctx.seconds_left)),
             max_prefill_wait=latest_read,
             latest_read=latest_read if first else math.inf,
--- a/src/swifttrestle/internal/forward/gateway_state.py
+++ b/src/swifttrestle/internal/forward/gateway_state.py
@@ -174,7 +174,7 @@
             return
         if self.fleet.instances.get(instance.name) is instance:
             self.fleet.remove(instance.record.instance)
-        self.pool.forget(instance.name)
+        self.pool.close_idle_connections(instance.name)
         log_event("instance replaced", instance=instance.name, source="its address")
 
     def _end_incarnation(self, former: Instance) -> None:
--- a/src/swifttrestle/internal/forward/scheduled_booking.py
+++ b/src/swifttrestle/internal/forward/scheduled_booking.py
@@ -307,7 +307,7 @@
     return replace(
         request,
         longest_wait=max(0.0, request.longest_wait - waited),
-        left=max(0.0, request.left - waited),
+        remaining_seconds=max(0.0, request.remaining_seconds - waited),
         max_wait=max(0.0, request.max_wait - waited),
     )
 
--- a/src/swifttrestle/internal/forward/scheduler.py
+++ b/src/swifttrestle/internal/forward/scheduler.py
@@ -94,7 +94,7 @@
         self, reference: BookingReference, ip: str, request: BookingRequest, booking: Booking
     ) -> None:
         now = _now()
-        decode_expires_at = now + request.left + EXPIRY_SECONDS
+        decode_expires_at = now + request.remaining_seconds + EXPIRY_SECONDS
         prefill_expires_at = min(decode_expires_at, now + booking.wait + MAX_PREFILL_SECONDS)
         host_booking = _HostBooking(booking, reference.host, prefill_expires_at, decode_expires_at)
         self._bookings[reference] = host_booking
--- a/src/swifttrestle/internal/protocol/rosters.py
+++ b/src/swifttrestle/internal/protocol/rosters.py
@@ -62,7 +62,8 @@
     """The periodic report of a zone aggregator to its zone and to other aggregators.
 
     `own` confirms the roster of its own zone, `others` those received from other aggregators.
-    `role_holder` is the host of its zone that holds the duty lease, or empty. `demand` is the load
+    `duty_lease_holder` is the host of its zone that holds the duty lease, or empty. `demand` is
+    the load
     offered by all callers of its zone, by service. `roles` maps an engine to its ordered role and
     the seconds until that takes effect, negative if that time has passed.
     """
@@ -73,7 +74,7 @@
     incarnation: int
     config_version: int
     store_unreachable: bool
-    role_holder: str
+    duty_lease_holder: str
     own: RosterConfirmation
     others: tuple[RosterConfirmation, ...] = ()
     demand: dict[str, tuple[float, float, float]] = field(default_factory=dict)
@@ -123,7 +124,7 @@
                 message.incarnation,
                 message.config_version,
                 message.store_unreachable,
-                message.role_holder,
+                message.duty_lease_holder,
                 confirmed,
                 message.demand,
                 message.roles,
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -29,7 +29,8 @@
 class BookingRequest:
     """What a request needs of engines; times are in seconds from now.
 
-    `left` is the time to the deadline. `longest_wait` is the longest wait for engines that still
+    `remaining_seconds` is the time to the deadline. `longest_wait` is the longest wait for engines
+    that still
     meets the latency objective. `max_wait` is the longest wait in total; after `longest_wait`, the
     request gets only capacity that requests still within their objective do not need.
     `max_prefill_wait` is the longest acceptable predicted wait for prefill; the time already waited
@@ -45,7 +46,7 @@
     affinity: str
     priority: int
     urgent: bool
-    left: float
+    remaining_seconds: float
     longest_wait: float
     max_prefill_wait: float
     late: bool = False
@@ -61,7 +62,7 @@
         numbers: tuple[object, ...] = (
             self.tokens,
             self.priority,
-            self.left,
+            self.remaining_seconds,
             self.longest_wait,
             self.max_prefill_wait,
             self.max_wait,
--- a/src/swifttrestle/internal/state/prompt_cache.py
+++ b/src/swifttrestle/internal/state/prompt_cache.py
@@ -56,7 +56,7 @@
             _, cached = self._parts.popitem(last=False)
             self._tokens -= cached.tokens
 
-    def forget(self, parts: Iterable[PromptPart]) -> None:
+    def drop(self, parts: Iterable[PromptPart]) -> None:
         """Drop parts, for example after a failed prefill."""
         for item in parts:
             self._drop(item)
--- a/src/swifttrestle/internal/transport/pool.py
+++ b/src/swifttrestle/internal/transport/pool.py
@@ -93,14 +93,14 @@
         now = asyncio.get_running_loop().time()
         connection.idle_until = now + idle_seconds if idle_seconds > 0 else 0.0
 
-    def forget(self, instance: str) -> None:
+    def close_idle_connections(self, instance: str) -> None:
         """Close all idle connections to an instance."""
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
     def abort_all(self, instance: str) -> None:
         """Close all connections to an instance that has ended, including those in use."""
-        self.forget(instance)
+        self.close_idle_connections(instance)
         for connection in list(self._in_use.get(instance, ())):
             connection.close()
 
@@ -127,7 +127,7 @@
             return
         self._next_drop_at = now + DROP_INTERVAL_SECONDS
         for instance in list(self._idle):
-            self.forget(instance)
+            self.close_idle_connections(instance)
 
     def _take_idle(self, instance: str) -> UpstreamConnection | None:
         now = asyncio.get_running_loop().time()
--- a/tests/cover/test_fetching.py
+++ b/tests/cover/test_fetching.py
@@ -92,7 +92,7 @@
     cache.note(PROMPT, 200_000, read=True)
     cache.note(PROMPT, 200_000)
     assert cache.count_prefilled(PROMPT) == 9000
-    cache.forget((OWN,))
+    cache.drop((OWN,))
     assert cache.count_prefilled(PROMPT) == 8000
 
 
--- a/tests/cover/test_home_zones.py
+++ b/tests/cover/test_home_zones.py
@@ -222,7 +222,7 @@
         await run_pending_tasks()
         asked = [message for message in network.sent if isinstance(message, BookingQuery)]
         assert len(asked) == 2
-        assert asked[1].request.left < asked[0].request.left
+        assert asked[1].request.remaining_seconds < asked[0].request.remaining_seconds
 
     run_hosts(act, monkeypatch, answer_seconds=0.05)
 
--- a/tests/cover/test_prompt_cache.py
+++ b/tests/cover/test_prompt_cache.py
@@ -71,7 +71,7 @@
     cache.note([SYSTEM], 100_000)
     uncached = cache.list_uncached(PROMPT)
     cache.note(PROMPT, 100_000)
-    cache.forget(uncached)
+    cache.drop(uncached)
     assert cache.count(PROMPT) == 2000
 
 
--- a/tests/cover/test_time_bounds.py
+++ b/tests/cover/test_time_bounds.py
@@ -175,7 +175,7 @@
     ),
     "in force, large version on a slow link: a peer has it": (
         SLOW_STORE_SECONDS
-        + gossip.LARGE_REPORT_SECONDS
+        + gossip.LARGE_FLEET_REPORT_SECONDS
         + DATAGRAM_SECONDS
         + exchange.CONFIG_WAIT_SECONDS
         + read_over_slow_link(COPY_BYTES),
--- a/tests/cover/test_upstream_conditions.py
+++ b/tests/cover/test_upstream_conditions.py
@@ -140,7 +140,7 @@
 @in_virtual_time
 async def test_after_its_cool_down_one_request_probes_an_upstream_before_the_others():
     state, woken = make_state(), []
-    state.conditions.on_room = lambda: woken.append(now())
+    state.conditions.on_capacity = lambda: woken.append(now())
     instance = state.fleet.instances["s0"]
     state.conditions.record_answer("s0", make_response(503, (b"Retry-After", b"1")), now())
     await asyncio.sleep(1.1)
--- a/tests/hosted/test_upstreams.py
+++ b/tests/hosted/test_upstreams.py
@@ -41,7 +41,7 @@
             _, content = await call_once(pool, "i", address, REQUEST, 1000)
         return content
     finally:
-        pool.forget("i")
+        pool.close_idle_connections("i")
         server.close()
 
 
--- a/tests/hosted/test_workspaces.py
+++ b/tests/hosted/test_workspaces.py
@@ -167,7 +167,7 @@
 def cut_from_store(gateway):
     """Make a gateway's calls to the store fail."""
     gateway._store._address = ("127.0.0.1", 1)
-    gateway._store._pool.forget("store")
+    gateway._store._pool.close_idle_connections("store")
 
 
 @on_keyed_site()
