--- a/src/swifttrestle/internal/coordination/registration.py
+++ b/src/swifttrestle/internal/coordination/registration.py
@@ -44,7 +44,7 @@
 ) -> None:
     """Write this host's address again if a restored store lacks it; `hosts` is the fleet's size."""
     await asyncio.sleep(rng.random() * hosts * RESTORE_SPREAD_SECONDS_PER_HOST)
-    await retry_until_done(lambda: _write_record(store, me), "host address not stored", rng)
+    await retry_until_done(lambda: _write_record(store, me), "own address not kept", rng)
 
 
 async def _write_record(store: ObjectStore, me: Member) -> None:
