--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from swifttrestle.internal.policy.scheduling import is_large_fleet, list_representatives
+from swifttrestle.internal.policy.scheduling import is_large_fleet, list_aggregators
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.peers import NEVER, PeerTable
 
@@ -14,7 +14,7 @@
     """The hosts that may hold the duty lease, in order of preference.
 
     Hosts that cannot reach the store are left out, since they can neither hold nor take the lease.
-    In a large fleet, only the zone aggregators (representatives) and the current holder are
+    In a large fleet, only the zone aggregators and the current holder are
     candidates: only aggregators receive reports from all hosts.
     """
 
@@ -71,7 +71,7 @@
         eligible = {member.host for member in members}
         if is_large_fleet(len(members)):
             zones = {member.zone for member in members}
-            eligible = {item.host for zone in zones for item in list_representatives(members, zone)}
+            eligible = {item.host for zone in zones for item in list_aggregators(members, zone)}
         order = []
         for member in members:
             holds_lease, unreachable = self._read_flags(member.host, now)
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -1,7 +1,7 @@
 """Confirms repeatedly that the configuration in force is the newest one.
 
 Where callers need keys, a removed key must be refused within a bound, even if this host's watch of
-the store has failed. The zone aggregators (representatives) of each zone read the store several
+the store has failed. The zone aggregators of each zone read the store several
 times within that bound, and the other hosts query the aggregators. A host whose last confirmation
 gets old queries hosts of all zones, and occasionally reads the store itself. None of this runs
 where no keys are needed.
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Sequence
 
 from swifttrestle.errors import BadEntryError, NotFoundError, PlatformUnavailableError
+from swifttrestle.internal.coordination.aggregators import ZoneAggregators
 from swifttrestle.internal.coordination.configuration import ConfigurationWatcher
-from swifttrestle.internal.coordination.representatives import Representatives
 from swifttrestle.internal.event_log import log_event
 from swifttrestle.internal.policy.revocation import is_fresh
 from swifttrestle.internal.policy.scheduling import is_large_fleet
@@ -71,7 +71,7 @@
         self._socket = socket
         self._me = me
         self._list_members = list_members
-        self._representatives = Representatives(me, list_members)
+        self._aggregators = ZoneAggregators(me, list_members)
         self._fetch_later = fetch_later
         self._median_clock = median_clock
         self._bound = bound
@@ -129,7 +129,7 @@
         )
 
     def _is_reader(self) -> bool:
-        return self._me.host in self._representatives.list_own()
+        return self._me.host in self._aggregators.list_own()
 
     def _reads_as_fallback(self) -> bool:
         """Return whether to read the store because no peer replies, or in place of the readers."""
@@ -156,11 +156,11 @@
 
     def _choose_peers(self) -> list[Member]:
         others = [item for item in self._list_members() if item.host != self._me.host]
-        readers = self._representatives.list_own()
+        readers = self._aggregators.list_own()
         if self.age < self._widen_age_seconds:
             own_readers = [item for item in others if item.host in readers]
             return [self._rng.choice(own_readers)] if own_readers else []
-        readers |= self._representatives.list_others()
+        readers |= self._aggregators.list_others()
         random_hosts = self._rng.sample(others, min(RANDOM_HOSTS, len(others)))
         return [item for item in others if item.host in readers or item in random_hosts]
 
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -1,7 +1,7 @@
 """Exchanges liveness, open work and the newest configuration version between gateways.
 
 Reports are datagrams, sent on changes and as periodic heartbeats. In a small fleet they go to
-every peer; in a large one to the zone aggregators (representatives) of the own zone, which
+every peer; in a large one to the zone aggregators of the own zone, which
 distribute the live hosts (see `rosters`).
 """
 
@@ -35,7 +35,7 @@
 HEARTBEAT_SECONDS = 0.5
 # Seconds for which a host that its zone's aggregators reported needs no answer from aggregators of
 # another zone. Exceeds the maximum interval between heartbeats.
-REPRESENTED_SECONDS = 0.65
+AGGREGATED_SECONDS = 0.65
 # Minimum seconds between reports of open work, and the addition for each recipient, which bounds
 # the datagrams per second as the number of hosts grows.
 REPORT_SECONDS = 0.01
@@ -209,7 +209,7 @@
         self._note_sent(work)
         self._send(work, recipients)
         self._send(work, self.recipients.choose_silent(now), with_known=True)
-        if self.recipients.is_representative():
+        if self.recipients.is_aggregator():
             self._rosters.send(self._make_summary(), self.recipients.list_for_summary())
 
     def _send_changes(self, now: float) -> None:
@@ -222,7 +222,7 @@
                 self.recipients.list_other_schedulers() if large else self._peers.list_seen(now)
             )
             self._send(work, recipients)
-        if self.recipients.is_large_fleet() and self.recipients.is_representative():
+        if self.recipients.is_large_fleet() and self.recipients.is_aggregator():
             confirmations = (self._rosters.refresh_own(), *self._rosters.list_orphaned())
             # A new version is reported immediately, so that peers fetch the compressed copy before
             # their own, much longer read of the store begins.
@@ -330,8 +330,8 @@
 
     def _answer_orphaned(self, report: PeerReport, joined: bool) -> None:
         """Answer a host that reports to this one because its zone has no aggregator."""
-        if report.zone != self._me.zone and self.recipients.is_representative():
-            if self._now() - self._peers.peers[report.host].reported_at < REPRESENTED_SECONDS:
+        if report.zone != self._me.zone and self.recipients.is_aggregator():
+            if self._now() - self._peers.peers[report.host].reported_at < AGGREGATED_SECONDS:
                 # Its own zone reports it: it sent this to a scheduler, or to all hosts.
                 return
             self._rosters.send_to(self._make_summary(), report.ip)
@@ -355,7 +355,7 @@
         self._record_heartbeat(heartbeat)
         for holder in self.recipients.list_named([summary.duty_lease_holder]):
             holder.held_duty_lease_at = now
-        if summary.zone == self._me.zone and self.recipients.is_representative():
+        if summary.zone == self._me.zone and self.recipients.is_aggregator():
             self._demand.drop_zone(summary.zone)
         else:
             self._demand.update_zone(summary.zone, summary.demand, now)
--- a/src/swifttrestle/internal/coordination/listing_relay.py
+++ b/src/swifttrestle/internal/coordination/listing_relay.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Sequence
 
-from swifttrestle.internal.policy.scheduling import is_large_fleet, list_representatives
+from swifttrestle.internal.policy.scheduling import is_large_fleet, list_aggregators
 from swifttrestle.internal.protocol.listings import ListingChanges, pack_changes, unpack_changes
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.transport.datagrams import DatagramKind, PeerSocket
@@ -50,8 +50,7 @@
         if not is_large_fleet(len(members)):
             return False
         return any(
-            item.host == self._host
-            for item in list_representatives(members, self._find_zone(members))
+            item.host == self._host for item in list_aggregators(members, self._find_zone(members))
         )
 
     def send(self, changes: ListingChanges) -> None:
--- a/src/swifttrestle/internal/coordination/recipients.py
+++ b/src/swifttrestle/internal/coordination/recipients.py
@@ -1,13 +1,13 @@
 """Chooses the recipients of this host's reports in a large fleet.
 
-These are the zone aggregators (representatives), the schedulers and some silent peers.
+These are the zone aggregators, the schedulers and some silent peers.
 """
 
 import random
 from collections.abc import Callable, Iterable
 
+from swifttrestle.internal.coordination.aggregators import ZoneAggregators
 from swifttrestle.internal.coordination.candidates import DutyCandidates
-from swifttrestle.internal.coordination.representatives import Representatives
 from swifttrestle.internal.policy.scheduling import is_large_fleet
 from swifttrestle.internal.state.members import Member
 from swifttrestle.internal.state.peers import Peer, PeerTable
@@ -45,7 +45,7 @@
         self._rng = rng
         self._now = now
         self._find_aggregator_message_at = find_aggregator_message_at
-        self._representatives = Representatives(me, self.list_members)
+        self._aggregators = ZoneAggregators(me, self.list_members)
         # `list_schedulers` returns the hosts that schedule engines; `schedules` is whether this
         # host is one of them.
         self.list_schedulers: Callable[[], set[str]] = set
@@ -90,18 +90,18 @@
         """
         zone = self._me.zone
         orphaned = self.is_orphaned(now)
-        recipients = self._representatives.list_own()
+        recipients = self._aggregators.list_own()
         if has_work:
             recipients |= self._schedulers
         if orphaned or (has_work and self.schedules):
             recipients |= {peer.host for peer in self._peers.list_seen(now) if peer.zone == zone}
         if orphaned:
-            recipients |= self._representatives.list_others()
+            recipients |= self._aggregators.list_others()
         return self.list_named(recipients)
 
     def list_for_summary(self) -> list[Member]:
         """Return the recipients of this host's summary: its zone and the other aggregators."""
-        return self._representatives.list_recipients()
+        return self._aggregators.list_recipients()
 
     def choose_silent(self, now: float) -> list[Peer]:
         """Return some randomly chosen silent peers."""
@@ -111,11 +111,11 @@
     def is_orphaned(self, now: float) -> bool:
         """Return whether no aggregator of this host's zone has sent a message recently."""
         silent = now - self._find_aggregator_message_at() >= ORPHANED_SECONDS
-        return silent and self.is_large_fleet() and not self.is_representative()
+        return silent and self.is_large_fleet() and not self.is_aggregator()
 
-    def is_representative(self) -> bool:
+    def is_aggregator(self) -> bool:
         """Return whether this host is an aggregator of its zone."""
-        return not self._candidates.leaving and self._me.host in self._representatives.list_own()
+        return not self._candidates.leaving and self._me.host in self._aggregators.list_own()
 
     def list_named(self, hosts: Iterable[str]) -> list[Peer]:
         """Return the known peers among these names."""
--- a/src/swifttrestle/internal/coordination/rosters.py
+++ b/src/swifttrestle/internal/coordination/rosters.py
@@ -1,4 +1,4 @@
-"""Distributes the live hosts of a large fleet through zone aggregators (representatives).
+"""Distributes the live hosts of a large fleet through zone aggregators.
 
 If every host sent heartbeats to every other one, their number would grow with the square of the
 number of hosts. Instead a host reports to the aggregators of its zone only. They send summaries to
--- a/src/swifttrestle/internal/coordination/representatives.py
+++ b/src/swifttrestle/internal/coordination/zone_aggregators.py
@@ -1,12 +1,12 @@
-"""Finds the aggregators (representatives) of availability zones, and the summaries' recipients."""
+"""Finds the aggregators of availability zones, and the summaries' recipients."""
 
 from collections.abc import Callable, Sequence
 
-from swifttrestle.internal.policy.scheduling import list_representatives
+from swifttrestle.internal.policy.scheduling import list_aggregators
 from swifttrestle.internal.state.members import Member
 
 
-class Representatives:
+class ZoneAggregators:
     """Finds the aggregators of all zones by the members that this host knows."""
 
     def __init__(self, me: Member, list_members: Callable[[], Sequence[Member]]) -> None:
@@ -16,14 +16,14 @@
 
     def list_own(self) -> set[str]:
         """Return the aggregators of this host's zone."""
-        found = list_representatives(self._list_members(), self._me.zone)
+        found = list_aggregators(self._list_members(), self._me.zone)
         return {item.host for item in found}
 
     def list_others(self) -> set[str]:
         """Return the aggregators of all other zones."""
         members = self._list_members()
         zones = {member.zone for member in members} - {self._me.zone}
-        return {item.host for zone in zones for item in list_representatives(members, zone)}
+        return {item.host for zone in zones for item in list_aggregators(members, zone)}
 
     def list_recipients(self) -> list[Member]:
         """Return the recipients of this host's summary: its zone and the other aggregators."""
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -10,9 +10,9 @@
 # Maximum number of hosts in a fleet that books without schedulers: so few hosts report open work to
 # each other often enough for each to book engines locally.
 SMALL_FLEET_HOSTS = 16
-# Zone aggregators (representatives): hosts that watch the discovery list and receive heartbeats for
+# Zone aggregators: hosts that watch the discovery list and receive heartbeats for
 # their zone. The loss of one is tolerated.
-REPRESENTATIVES_PER_ZONE = 2
+AGGREGATORS_PER_ZONE = 2
 
 
 def is_large_fleet(members: int) -> bool:
@@ -20,12 +20,12 @@
     return members > SMALL_FLEET_HOSTS
 
 
-def list_representatives(members: Sequence[Member], zone: str) -> list[Member]:
+def list_aggregators(members: Sequence[Member], zone: str) -> list[Member]:
     """Return the aggregators of a zone."""
     candidates = [item for item in members if item.zone == zone]
     return sorted(
         candidates, key=lambda item: (item.link_mbps, rank(f"list|{zone}", item.host)), reverse=True
-    )[:REPRESENTATIVES_PER_ZONE]
+    )[:AGGREGATORS_PER_ZONE]
 
 
 def find_scheduling_group(engines: Sequence[Instance], zone: str) -> str:
--- a/src/swifttrestle/internal/protocol/rosters.py
+++ b/src/swifttrestle/internal/protocol/rosters.py
@@ -1,4 +1,4 @@
-"""Datagrams by which zone aggregators (representatives) report live hosts, in a large fleet.
+"""Datagrams by which zone aggregators report live hosts, in a large fleet.
 
 A roster lists the live hosts of a zone, by the heartbeats that one aggregator receives. It is
 identified by its digest, so that a small summary confirms it periodically; its entries are sent
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -10,7 +10,7 @@
 from swifttrestle.internal.coordination.rosters import Rosters
 from swifttrestle.internal.coordination.store_availability import StoreAvailability
 from swifttrestle.internal.coordination.zone_demand import ZoneDemand
-from swifttrestle.internal.policy.scheduling import list_representatives
+from swifttrestle.internal.policy.scheduling import list_aggregators
 from swifttrestle.internal.protocol.rosters import (
     ENTRIES_PER_PART,
     Roster,
@@ -481,8 +481,8 @@
 def test_one_host_of_a_large_fleet_is_the_candidate_and_an_aggregator_of_its_zone():
     found = list_candidates([10.0])
     assert len(found) == 1
-    representatives = [i.host for zone in "ab" for i in list_representatives(HOSTS, zone)]
-    assert found == [min(representatives)]
+    aggregators = [i.host for zone in "ab" for i in list_aggregators(HOSTS, zone)]
+    assert found == [min(aggregators)]
 
 
 @pytest.mark.parametrize("host", ["a0", "a5", "b11"])
--- a/tests/hosted/test_large_fleets.py
+++ b/tests/hosted/test_large_fleets.py
@@ -72,7 +72,7 @@
         await wait_for_all_hosts(site)
         await asyncio.sleep(1.0)
         members = site.gateways["g0"].gateway.list_members()
-        watchers = [item.host for item in scheduling.list_representatives(members, "hall-a")]
+        watchers = [item.host for item in scheduling.list_aggregators(members, "hall-a")]
         others = set(site.gateways) - set(watchers)
         for name in watchers:
             running = site.gateways[name]
@@ -95,7 +95,7 @@
         await wait_for_all_hosts(site)
         await asyncio.sleep(1.0)
         members = site.gateways["g0"].gateway.list_members()
-        isolated = scheduling.list_representatives(members, "hall-a")[0].host
+        isolated = scheduling.list_aggregators(members, "hall-a")[0].host
         site.gateways[isolated].gateway._store._call = refuse_call
         await asyncio.sleep(0.5)
         site.unlist_upstream(site.upstreams["s0"])
--- a/tests/hosted/test_rosters.py
+++ b/tests/hosted/test_rosters.py
@@ -1,4 +1,4 @@
-"""Live hosts of a large fleet, where hosts report to zone aggregators (representatives) only."""
+"""Live hosts of a large fleet, where hosts report to zone aggregators only."""
 
 import asyncio
 
@@ -38,7 +38,7 @@
 
 def find_aggregators(site, zone):
     members = site.gateways["g0"].gateway.list_members()
-    return {item.host for item in scheduling.list_representatives(members, zone)}
+    return {item.host for item in scheduling.list_aggregators(members, zone)}
 
 
 def stop_host(site, name):
@@ -103,7 +103,7 @@
     assert answers == []
 
 
-@pytest.mark.parametrize("which", ["plain", "one representative"])
+@pytest.mark.parametrize("which", ["plain", "one aggregator"])
 @on_site(gateways=3)
 async def test_only_a_lost_host_is_gone_at_all_hosts(site, which):
     await add_zones(site)
