--- a/src/swifttrestle/internal/coordination/candidates.py
+++ b/src/swifttrestle/internal/coordination/candidates.py
@@ -14,8 +14,8 @@
     """The hosts that may hold the duty lease, in order of preference.
 
     Hosts that cannot reach the store are left out, since they can neither hold nor take the lease.
-    In a large fleet, only the zone aggregators and the current holder are
-    candidates: only aggregators receive reports from all hosts.
+    In a large fleet, only the zone aggregators and the current holder are candidates: only
+    aggregators receive reports from all hosts.
     """
 
     def __init__(self, me: Member, peers: PeerTable, now: Callable[[], float]) -> None:
--- a/src/swifttrestle/internal/coordination/freshness_monitor.py
+++ b/src/swifttrestle/internal/coordination/freshness_monitor.py
@@ -1,10 +1,10 @@
 """Confirms repeatedly that the configuration in force is the newest one.
 
 Where callers need keys, a removed key must be refused within a bound, even if this host's watch of
-the store has failed. The zone aggregators of each zone read the store several
-times within that bound, and the other hosts query the aggregators. A host whose last confirmation
-gets old queries hosts of all zones, and occasionally reads the store itself. None of this runs
-where no keys are needed.
+the store has failed. The zone aggregators of each zone read the store several times within that
+bound, and the other hosts query the aggregators. A host whose last confirmation gets old queries
+hosts of all zones, and occasionally reads the store itself. None of this runs where no keys are
+needed.
 """
 
 import asyncio
--- a/src/swifttrestle/internal/coordination/gossip.py
+++ b/src/swifttrestle/internal/coordination/gossip.py
@@ -1,8 +1,8 @@
 """Exchanges liveness, open work and the newest configuration version between gateways.
 
-Reports are datagrams, sent on changes and as periodic heartbeats. In a small fleet they go to
-every peer; in a large one to the zone aggregators of the own zone, which
-distribute the live hosts (see `rosters`).
+Reports are datagrams, sent on changes and as periodic heartbeats. In a small fleet they go to every
+peer; in a large one to the zone aggregators of the own zone, which distribute the live hosts (see
+`rosters`).
 """
 
 import asyncio
--- a/src/swifttrestle/internal/policy/scheduling.py
+++ b/src/swifttrestle/internal/policy/scheduling.py
@@ -10,8 +10,8 @@
 # Maximum number of hosts in a fleet that books without schedulers: so few hosts report open work to
 # each other often enough for each to book engines locally.
 SMALL_FLEET_HOSTS = 16
-# Zone aggregators: hosts that watch the discovery list and receive heartbeats for
-# their zone. The loss of one is tolerated.
+# Zone aggregators: hosts that watch the discovery list and receive heartbeats for their zone. The
+# loss of one is tolerated.
 AGGREGATORS_PER_ZONE = 2
 
 
--- a/src/swifttrestle/internal/state/bookings.py
+++ b/src/swifttrestle/internal/state/bookings.py
@@ -30,14 +30,12 @@
     """What a request needs of engines; times are in seconds from now.
 
     `remaining_seconds` is the time to the deadline. `longest_wait` is the longest wait for engines
-    that still
-    meets the latency objective. `max_wait` is the longest wait in total; after `longest_wait`, the
-    request gets only capacity that requests still within their objective do not need.
-    `max_prefill_wait` is the longest acceptable predicted wait for prefill; the time already waited
-    is subtracted from it, unless the request is `late`, that is, misses its objective anyway.
-    Prefill must end within `latest_read`
-    for the objective to be met. `parts` are the parts of the prompt, with ids that differ between
-    models.
+    that still meets the latency objective. `max_wait` is the longest wait in total; after
+    `longest_wait`, the request gets only capacity that requests still within their objective do not
+    need. `max_prefill_wait` is the longest acceptable predicted wait for prefill; the time already
+    waited is subtracted from it, unless the request is `late`, that is, misses its objective
+    anyway. Prefill must end within `latest_read` for the objective to be met. `parts` are the parts
+    of the prompt, with ids that differ between models.
     """
 
     service: str
--- a/src/swifttrestle/platform/settings.py
+++ b/src/swifttrestle/platform/settings.py
@@ -23,9 +23,8 @@
     """Limits that the platform sets; all in seconds, except `retry_share` and `retry_extra`.
 
     `revocation_seconds` is how long a removed key may still be accepted, infinite if there is no
-    limit.
-    `usage_window_seconds` is the length of the windows in which workspaces' requests are counted,
-    0 if usage is not counted.
+    limit. `usage_window_seconds` is the length of the windows in which workspaces' requests are
+    counted, 0 if usage is not counted.
     """
 
     stop: float
